--- /dev/null
+++ b/crates/model/tests/forms.rs
@@ -0,0 +1,190 @@
+//! The forms of declarations, changes and refusals: as people write them and as they are stored.
+//!
+//! The words of faults with file, line and field stand in `declarations.rs`.
+
+use std::collections;
+use std::path;
+use std::time::{Duration, SystemTime};
+
+use model::change;
+use model::check;
+use model::document;
+use model::epoch;
+use model::fraction;
+use model::id;
+use model::refusal;
+use model::resource;
+use model::revision;
+use model::route;
+use model::seat;
+use model::snapshot;
+use model::table;
+use model::verdict;
+
+const DECLARATIONS: &str = include_str!("forms/declarations.yaml");
+
+fn fixture(name: &str) -> String {
+    let file = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/forms").join(name);
+    std::fs::read_to_string(file).expect("the fixture is there")
+}
+
+/// Compares a text with a fixture, whole.
+fn same(name: &str, text: &str) {
+    assert_eq!(text, fixture(name), "{name}");
+}
+
+fn declarations() -> Vec<resource::Resource> {
+    document::read_resources("declarations.yaml", DECLARATIONS).expect("they are well-formed")
+}
+
+fn json(value: &impl serde::Serialize) -> String {
+    serde_json::to_string_pretty(value).expect("it can be written") + "\n"
+}
+
+/// Returns the declarations in one configuration, as the store keeps it.
+fn stored() -> snapshot::Snapshot {
+    let steps = declarations().into_iter().map(|resource| change::Step::Put { resource }).collect();
+    let change = change::Change { operation: "first".to_owned(), expected: None, steps };
+    let facts = check::Facts::at(SystemTime::UNIX_EPOCH);
+    snapshot::Snapshot::default().apply(&change, &facts).expect("the declarations are accepted")
+}
+
+#[test]
+fn every_kind_has_a_declaration() {
+    let kinds: collections::BTreeSet<resource::Kind> =
+        declarations().iter().map(resource::Resource::kind).collect();
+    assert_eq!(kinds, resource::Kind::ALL.into());
+    let words = resource::Kind::ALL.map(|kind| (kind.as_str(), kind.plural()));
+    let expected = [
+        ("service", "services"),
+        ("place", "places"),
+        ("cap", "caps"),
+        ("drain", "drains"),
+        ("route", "routes"),
+        ("evacuation", "evacuations"),
+    ];
+    assert_eq!(words, expected);
+}
+
+#[test]
+fn declarations_mean_what_they_say() {
+    let declarations = declarations();
+    let resource::Resource::Service(bare) = &declarations[1] else { panic!("a service") };
+    assert_eq!((bare.deadline, bare.hold), (Duration::from_secs(5), Duration::from_millis(500)));
+    assert_eq!(bare.upstreams[0].connections, 400);
+    let resource::Resource::Cap(cap) = &declarations[3] else { panic!("a cap") };
+    assert_eq!(cap.share, fraction::Fraction(125_000));
+    assert_eq!(cap.lost_share, Some(fraction::Fraction::from_percent(50)));
+    let resource::Resource::Route(writes) = &declarations[8] else { panic!("a route") };
+    assert_eq!(writes.repetition, route::Kind::NonIdempotent);
+    assert_eq!((writes.priority, writes.max_attempts, writes.is_sticky), (0, 1, false));
+    assert_eq!(writes.parts[0].weight, 1);
+}
+
+#[test]
+fn declarations_are_written_as_yaml() {
+    let write = |r: &resource::Resource| serde_yaml_ng::to_string(r).expect("it can be written");
+    let text: String = declarations().iter().map(|r| format!("---\n{}", write(r))).collect();
+    same("written.yaml", &text);
+    let again = document::read_resources("written.yaml", &text).expect("it is read again");
+    assert_eq!(again, declarations());
+}
+
+#[test]
+fn declarations_are_written_as_json() {
+    let text = json(&declarations());
+    same("written.json", &text);
+    let again: Vec<resource::Resource> = serde_json::from_str(&text).expect("it is read again");
+    assert_eq!(again, declarations());
+}
+
+#[test]
+fn a_configuration_is_stored_as_json() {
+    let text = json(&stored());
+    same("configuration.json", &text);
+    let again: snapshot::Snapshot = serde_json::from_str(&text).expect("it is read again");
+    assert_eq!(json(&again), text);
+}
+
+#[test]
+fn a_table_is_stored_as_json() {
+    let text = fixture("table.json");
+    let table: table::Table = serde_json::from_str(&text).expect("it is read");
+    assert_eq!(json(&table), text);
+    let node = id::Node::new("dakar-0");
+    assert_eq!(table.seats[0].key, seat::Key { node, incarnation: 7 });
+    assert_eq!((table.epoch, table.departed[0].last), (epoch::Epoch(3), epoch::Epoch(2)));
+}
+
+#[test]
+fn changes_and_refusals_are_json() {
+    let place = declarations().swap_remove(2);
+    let name = "rewiring".to_owned();
+    let change = change::Change {
+        operation: "a1".to_owned(),
+        expected: Some(revision::Revision(4)),
+        steps: vec![
+            change::Step::Put { resource: place },
+            change::Step::Delete { kind: resource::Kind::Drain, name },
+        ],
+    };
+    let problem = refusal::Problem {
+        resource: "cap pace".to_owned(),
+        field: "service".to_owned(),
+        message: "expected a declared service".to_owned(),
+    };
+    let refusals = [
+        refusal::Refusal::Invalid { problems: vec![problem] },
+        refusal::Refusal::Conflict {
+            expected: revision::Revision(4),
+            found: revision::Revision(5),
+        },
+        refusal::Refusal::Missing { resource: "drain rewiring".to_owned() },
+    ];
+    same("changes.json", &json(&(&change, &refusals)));
+    let lines: Vec<String> = refusals.iter().map(ToString::to_string).collect();
+    let expected = [
+        "cap pace: service: expected a declared service",
+        "expected revision 4, but revision 5 stands",
+        "drain rewiring does not exist",
+    ];
+    assert_eq!(lines, expected);
+    let again: (change::Change, Vec<refusal::Refusal>) =
+        serde_json::from_str(&fixture("changes.json")).expect("it is read");
+    assert_eq!(again, (change, refusals.to_vec()));
+}
+
+#[test]
+fn unknown_fields_are_refused_by_line_and_field() {
+    let parts = DECLARATIONS.split("---\n");
+    let faults: Vec<String> = parts
+        .map(|part| format!("{part}colour: blue\n"))
+        .map(|text| document::read_resources("d.yaml", &text).expect_err("refused").to_string())
+        .collect();
+    same("unknown-fields.txt", &(faults.join("\n") + "\n"));
+}
+
+#[test]
+fn words_of_verdicts_and_reasons() {
+    let verdicts = [verdict::Verdict::NotRun, verdict::Verdict::MayHaveRun];
+    assert_eq!(verdicts.map(verdict::Verdict::as_str), ["not-run", "may-have-run"]);
+    let words = [
+        "unknown-host",
+        "bad-request",
+        "not-ready",
+        "no-region",
+        "not-home",
+        "busy",
+        "full",
+        "deadline",
+        "cancelled",
+        "unreachable",
+        "shed",
+        "broken",
+        "ticket",
+        "running",
+    ];
+    for word in words {
+        assert_eq!(verdict::Reason::parse(word).as_str(), word);
+    }
+}
