--- a/crates/cli/tests/forms.rs
+++ b/crates/cli/tests/forms/main.rs
@@ -2,17 +2,14 @@
 //!
 //! The outcome of `demo --platform` stands in `platform_demo.rs`.
 
-use std::io::{BufRead as _, Read as _, Write as _};
+mod node;
+
 use std::net;
 use std::path;
-use std::thread;
 
 use assert_cmd::Command;
 use predicates::str::contains;
 
-/// An answer of a node: method and path, status, body.
-type Answer = (&'static str, u16, &'static str);
-
 const COMMANDS: [&str; 11] = [
     "apply",
     "diff",
@@ -175,45 +172,6 @@
     files.run(server, &["apply", "-f", "unknown.yaml"]).code(2);
 }
 
-/// Starts a node that gives fixed answers to the operators' calls, each on its own connection.
-fn node(answers: Vec<Answer>) -> net::SocketAddr {
-    let listener = net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("it has an address");
-    thread::spawn(move || {
-        for stream in listener.incoming() {
-            answer(stream.expect("a connection comes"), &answers).expect("the call is answered");
-        }
-    });
-    address
-}
-
-fn answer(mut stream: net::TcpStream, answers: &[Answer]) -> std::io::Result<()> {
-    let mut reader = std::io::BufReader::new(stream.try_clone()?);
-    let mut first = String::new();
-    reader.read_line(&mut first)?;
-    let (mut length, mut is_admitted) = (0, false);
-    loop {
-        let mut line = String::new();
-        reader.read_line(&mut line)?;
-        let line = line.trim_end().to_ascii_lowercase();
-        match line.split_once(": ") {
-            None => break,
-            Some(("content-length", value)) => length = value.parse().unwrap_or(0),
-            Some(("authorization", value)) => is_admitted = value == "bearer secret",
-            Some(_) => {}
-        }
-    }
-    reader.by_ref().take(length).read_to_end(&mut Vec::new())?;
-    let call = first.trim_end().trim_end_matches(" HTTP/1.1");
-    let known = answers.iter().find(|(known, _, _)| *known == call && is_admitted);
-    let (_, status, body) = known.copied().unwrap_or(("", 404, r#"{"error":"no such call"}"#));
-    write!(
-        stream,
-        "HTTP/1.1 {status} Status\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{body}",
-        body.len()
-    )
-}
-
 const ITEM: &str = r#"{"revision":3,"in_force":false,"lagging":["n-2","n-3"],"resource":{"kind":
     "cap","name":"pace","service":"catalogue","share":5.0,"window":"10s"}}"#;
 const ITEMS: &str = r#"{"revision":4,"items":[{"revision":3,"in_force":true,"lagging":[],"resource":
@@ -225,7 +183,7 @@
     \"in_force\":false,\"lagging\":[\"n-2\"],\"resource\":{\"name\":\"other\"}}}\n\
     {\"type\":\"delete\",\"kind\":\"cap\",\"name\":\"pace\",\"revision\":5}\n";
 
-const READS: [Answer; 6] = [
+const READS: [node::Answer; 6] = [
     ("GET /v1/caps", 200, ITEMS),
     ("GET /v1/caps/pace", 200, ITEM),
     ("GET /v1/caps?watch=true", 200, LINES),
@@ -237,7 +195,7 @@
 #[test]
 fn what_a_node_holds_is_printed() {
     let files = Files::new();
-    let server = node(READS.into());
+    let server = node::start(READS.into());
     let commands: [&[&str]; 13] = [
         &["get", "caps"],
         &["get", "cap", "pace"],
@@ -290,7 +248,7 @@
 
 /// Starts a node that holds two caps and a place, and gives any change this outcome.
 fn node_with(status: u16, outcome: &'static str) -> net::SocketAddr {
-    node(vec![
+    node::start(vec![
         ("GET /v1/services", 200, EMPTY),
         ("GET /v1/places", 200, QUAI),
         ("GET /v1/caps", 200, ITEMS),
