--- a/crates/node/tests/process/main.rs
+++ b/crates/node/tests/process/main.rs
@@ -4,5 +4,6 @@
 mod calls;
 mod check;
 mod failures;
+mod forms;
 mod gateway;
 mod rig;
