--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -13,8 +13,8 @@
 use model::resource;
 use model::service;
 use model::upstream;
-use node::operators::access;
-use node::settings;
+use node::owner::operators::access;
+use node::owner::settings;
 use standin::{client, store, truth};
 
 use crate::output;
@@ -79,9 +79,9 @@
     let store = store::Store::start(any).await?;
     let truth = sync::Arc::new(truth::Truth::default());
     let started = standin::upstream::Upstream::start(any, spec(), truth).await?;
-    let first = node::node::Node::start(&settings("cost-1", store.address, &[]))?;
+    let first = node::owner::node::Node::start(&settings("cost-1", store.address, &[]))?;
     let seeds = [first.listen.peers];
-    let second = node::node::Node::start(&settings("cost-2", store.address, &seeds))?;
+    let second = node::owner::node::Node::start(&settings("cost-2", store.address, &seeds))?;
     let nodes = [first, second];
     wait(&nodes, false).await?;
     declare(&nodes[0], started.address).await?;
@@ -211,7 +211,7 @@
     }
 }
 
-async fn declare(node: &node::node::Node, address: net::SocketAddr) -> anyhow::Result<()> {
+async fn declare(node: &node::owner::node::Node, address: net::SocketAddr) -> anyhow::Result<()> {
     let upstream = upstream::Upstream {
         name: id::Upstream::new("cost-1"),
         region: id::Region::new("here"),
@@ -243,7 +243,7 @@
 }
 
 /// Waits until both nodes are seated, and, once declared, until the home has all slots.
-async fn wait(nodes: &[node::node::Node; 2], is_declared: bool) -> anyhow::Result<()> {
+async fn wait(nodes: &[node::owner::node::Node; 2], is_declared: bool) -> anyhow::Result<()> {
     let began = Instant::now();
     loop {
         let mut slots = 0;
--- a/crates/bench/src/scale/fleet.rs
+++ b/crates/bench/src/scale/fleet.rs
@@ -16,12 +16,12 @@
 use model::snapshot;
 use model::table;
 use model::upstream;
-use node::peers::convert;
+use node::owner::peers::convert;
 use prost::Message as _;
-use steer::action;
-use steer::beat;
-use steer::core;
-use steer::event;
+use steer::ownership::action;
+use steer::ownership::beat;
+use steer::ownership::core;
+use steer::ownership::event;
 
 use crate::scale;
 
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -11,8 +11,8 @@
 use model::id;
 use model::resource;
 use model::revision;
-use node::operators::status;
-use node::store::accept;
+use node::common::store::accept;
+use node::owner::operators::status;
 use serde::Deserialize;
 
 use crate::args;
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use model::change;
-use node::store::accept;
+use node::common::store::accept;
 
 use crate::args;
 use crate::client;
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -10,7 +10,7 @@
 use model::resource;
 use model::snapshot;
 use node::gateway;
-use node::settings;
+use node::owner::settings;
 
 use crate::args;
 use crate::controller::Code;
--- a/crates/cli/src/commands/get.rs
+++ b/crates/cli/src/commands/get.rs
@@ -1,6 +1,6 @@
 //! `yokespoke get`.
 
-use node::operators::status;
+use node::owner::operators::status;
 
 use crate::args;
 use crate::client;
--- a/crates/cli/src/commands/outcome.rs
+++ b/crates/cli/src/commands/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use node::store::accept;
+use node::common::store::accept;
 
 use crate::client;
 use crate::controller::Code;
--- a/crates/cli/src/demo/fleet.rs
+++ b/crates/cli/src/demo/fleet.rs
@@ -8,9 +8,9 @@
 use model::change;
 use model::id;
 use model::resource;
-use node::operators::access;
-use node::settings;
-use node::store::accept;
+use node::common::store::accept;
+use node::owner::operators::access;
+use node::owner::settings;
 use standin::store;
 use standin::truth;
 use standin::upstream;
@@ -49,7 +49,7 @@
     /// The upstreams, by service and name.
     pub upstreams: collections::BTreeMap<(id::Service, id::Upstream), upstream::Upstream>,
     /// The nodes, by name.
-    pub nodes: collections::BTreeMap<String, node::node::Node>,
+    pub nodes: collections::BTreeMap<String, node::owner::node::Node>,
     /// The operators' token.
     pub token: String,
 }
@@ -180,7 +180,7 @@
             let ip = net::Ipv4Addr::new(127, 0, 1, u8::try_from(number + 1)?);
             let name = format!("{}-{:02}", example.name, number + 1);
             let settings = self.settings(&name, region, &hall, ip.into(), &seeds);
-            let node = node::node::Node::start(&settings)?;
+            let node = node::owner::node::Node::start(&settings)?;
             seeds.push(node.listen.peers);
             seeds.truncate(example.regions.len());
             self.vms.fill([ip.into()]);
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -12,7 +12,7 @@
 use std::sync;
 use std::time::Duration;
 
-use node::settings;
+use node::owner::settings;
 
 use crate::args;
 use crate::controller::Code;
@@ -28,7 +28,7 @@
 /// Fails when the example cannot be started, which says nothing about promises.
 pub async fn run(args: &args::Demo) -> anyhow::Result<Code> {
     anyhow::ensure!(args.seconds >= LEAST_SECONDS, "--seconds: expected at least {LEAST_SECONDS}");
-    node::logging::start(settings::Level::Warn, io::stderr())?;
+    node::common::logging::start(settings::Level::Warn, io::stderr())?;
     if args.platform {
         return platform::run(args).await;
     }
--- a/crates/cli/src/demo/phases.rs
+++ b/crates/cli/src/demo/phases.rs
@@ -8,7 +8,7 @@
 use model::drain;
 use model::id;
 use model::resource;
-use node::store::accept;
+use node::common::store::accept;
 use standin::vms;
 use tokio::sync::{Mutex, watch};
 use tokio::task::JoinSet;
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/common/logging.rs
@@ -9,8 +9,8 @@
 
 use log::kv;
 
-use crate::log_writer;
-use crate::settings;
+use crate::common::log_writer;
+use crate::owner::settings;
 
 /// Sends events of `level` and above to `output`: a process's own is standard output; a tool whose
 /// results go there logs to standard error.
--- /dev/null
+++ b/crates/node/src/common/mod.rs
@@ -0,0 +1,7 @@
+//! What both roles of a process use: logging, bodies, headers, the client of yokespoke's own store.
+
+pub mod body;
+pub mod head;
+pub mod log_writer;
+pub mod logging;
+pub mod store;
--- a/crates/node/src/store/accept.rs
+++ b/crates/node/src/common/store/accept.rs
@@ -11,7 +11,7 @@
 use model::snapshot;
 use serde::{Deserialize, Serialize};
 
-use crate::store::edge;
+use crate::common::store::edge;
 
 /// Key of the configuration.
 pub const KEY: &str = "config";
--- a/crates/node/src/store/client.rs
+++ b/crates/node/src/common/store/client.rs
@@ -14,7 +14,7 @@
 use hyper_util::rt;
 use serde::Serialize;
 
-use crate::store::edge;
+use crate::common::store::edge;
 
 /// Time for an answer, beside what a watch waits.
 const CALL_TIME: Duration = Duration::from_secs(2);
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -3,10 +3,10 @@
 use std::io;
 use std::process;
 
+use ::node::common::logging;
 use ::node::gateway;
-use ::node::logging;
-use ::node::node;
-use ::node::settings;
+use ::node::owner::node;
+use ::node::owner::settings;
 use tokio::signal::unix;
 
 use crate::args;
--- a/crates/node/src/gateway/declarations.rs
+++ b/crates/node/src/gateway/declarations.rs
@@ -12,11 +12,11 @@
 use model::snapshot;
 use model::upstream;
 
+use crate::common::store::accept;
+use crate::common::store::client;
+use crate::common::store::edge;
+use crate::common::store::edge::Store as _;
 use crate::gateway::state;
-use crate::store::accept;
-use crate::store::client;
-use crate::store::edge;
-use crate::store::edge::Store as _;
 
 /// Longest time one watch waits.
 const WAIT: Duration = Duration::from_secs(25);
--- a/crates/node/src/gateway/dialect.rs
+++ b/crates/node/src/gateway/dialect.rs
@@ -8,8 +8,8 @@
 use model::routing;
 use platform::headers;
 
+use crate::common::head;
 use crate::gateway::proxy::answer;
-use crate::head;
 
 /// Statuses that promise callers that the request has not run; an upstream's are passed on as such
 /// only with its word for it.
--- a/crates/node/src/gateway/metrics.rs
+++ b/crates/node/src/gateway/metrics.rs
@@ -115,7 +115,7 @@
             let _ = writeln!(text, "# TYPE yokespoke_{name}_total counter");
             let _ = writeln!(text, "yokespoke_{name}_total {}", counter.get());
         }
-        let dropped = crate::logging::dropped().load(std::sync::atomic::Ordering::Relaxed);
+        let dropped = crate::common::logging::dropped().load(std::sync::atomic::Ordering::Relaxed);
         let _ = writeln!(text, "# TYPE yokespoke_log_lines_dropped_total counter");
         let _ = writeln!(text, "yokespoke_log_lines_dropped_total {dropped}");
         let _ = writeln!(text, "# TYPE yokespoke_latency_seconds summary");
--- a/crates/node/src/gateway/process.rs
+++ b/crates/node/src/gateway/process.rs
@@ -9,6 +9,7 @@
 use tokio::sync::watch;
 use tokio::task;
 
+use crate::common::store;
 use crate::gateway::control_server;
 use crate::gateway::declarations;
 use crate::gateway::heartbeat;
@@ -20,7 +21,6 @@
 use crate::gateway::shutdown;
 use crate::gateway::state;
 use crate::gateway::sync;
-use crate::store;
 
 /// Longest time for an answer of the store.
 const CALL_TIME: Duration = Duration::from_millis(1_500);
--- a/crates/node/src/gateway/proxy/answer.rs
+++ b/crates/node/src/gateway/proxy/answer.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
 
-use crate::body;
+use crate::common::body;
 use crate::gateway::dialect;
 
 /// Why the gateway answers a request itself.
--- a/crates/node/src/gateway/proxy/connection.rs
+++ b/crates/node/src/gateway/proxy/connection.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::task;
 
-use crate::body;
+use crate::common::body;
 
 /// Longest time a connection may take to come up.
 const CONNECT_TIME: Duration = Duration::from_millis(350);
--- a/crates/node/src/gateway/proxy/exchange.rs
+++ b/crates/node/src/gateway/proxy/exchange.rs
@@ -9,7 +9,7 @@
 use model::endpoint;
 use model::routing;
 
-use crate::body;
+use crate::common::body;
 use crate::gateway::dialect;
 use crate::gateway::proxy::connection;
 
--- a/crates/node/src/gateway/proxy/handler.rs
+++ b/crates/node/src/gateway/proxy/handler.rs
@@ -5,7 +5,7 @@
 use http::{HeaderValue, Request, Response, header, request};
 use hyper::body::Incoming;
 
-use crate::body;
+use crate::common::body;
 use crate::gateway::proxy::answer;
 use crate::gateway::proxy::head;
 use crate::gateway::proxy::request_body;
--- a/crates/node/src/gateway/proxy/relay.rs
+++ b/crates/node/src/gateway/proxy/relay.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers;
 
-use crate::body;
+use crate::common::body;
 use crate::gateway::proxy::attempt;
 use crate::gateway::proxy::connection;
 use crate::gateway::proxy::head;
--- a/crates/node/src/gateway/proxy/request_body.rs
+++ b/crates/node/src/gateway/proxy/request_body.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt as _;
 use hyper::body::Incoming;
 
-use crate::body;
+use crate::common::body;
 
 /// Largest body that is read whole before it is sent on, in bytes.
 const LARGEST_KEPT: usize = 1_024 * 1_024;
--- a/crates/node/src/gateway/proxy/tries.rs
+++ b/crates/node/src/gateway/proxy/tries.rs
@@ -14,7 +14,7 @@
 use steer::dispatch::outcome;
 use steer::dispatch::refusal;
 
-use crate::body;
+use crate::common::body;
 use crate::gateway::dialect;
 use crate::gateway::proxy::answer;
 use crate::gateway::proxy::attempt;
--- a/crates/node/src/gateway/settings.rs
+++ b/crates/node/src/gateway/settings.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::dialect;
-use crate::settings as node_settings;
+use crate::owner::settings as node_settings;
 
 /// Everything a gateway must be told.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,22 +1,7 @@
-//! The node process: faces for callers, operators and peers around the decisions of `steer`.
+//! The process of an entry VM: sockets, tasks and threads around the decisions of `steer`.
+//!
+//! A folder for each role of a process, and one for what both use.
 
-pub mod answer;
-pub mod body;
-pub mod callers;
-pub mod decider;
-pub mod decisions;
-pub mod duty;
-pub mod failed;
+pub mod common;
 pub mod gateway;
-pub mod head;
-pub mod log_writer;
-pub mod logging;
-pub mod node;
-pub mod operators;
-pub mod peers;
-pub mod probes;
-pub mod runner;
-pub mod settings;
-pub mod stats;
-pub mod store;
-pub mod view;
+pub mod owner;
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/owner/answer.rs
@@ -9,7 +9,7 @@
 use http_body::Frame;
 use http_body_util::{BodyExt as _, BodyStream, StreamBody};
 
-use crate::body;
+use crate::common::body;
 
 /// Largest body of an answer that is remembered, in bytes.
 pub const LARGEST: usize = 8 * 1_024;
--- a/crates/node/src/callers/entry.rs
+++ b/crates/node/src/owner/callers/entry.rs
@@ -8,16 +8,16 @@
 use http_body_util::BodyExt as _;
 use model::id;
 use model::verdict;
-use steer::beat;
-use steer::ticket;
+use steer::ownership::beat;
+use steer::ownership::ticket;
 use wire::peer;
 
-use crate::answer;
-use crate::body;
-use crate::decisions;
-use crate::failed;
-use crate::peers::carrier;
-use crate::runner;
+use crate::common::body;
+use crate::owner::answer;
+use crate::owner::decisions;
+use crate::owner::failed;
+use crate::owner::peers::carrier;
+use crate::owner::runner;
 
 /// When a caller may ask again about a ticket whose request is running.
 const RUNNING_RETRY: Duration = Duration::from_secs(1);
--- a/crates/node/src/callers/face.rs
+++ b/crates/node/src/owner/callers/face.rs
@@ -19,15 +19,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, watch};
 
-use crate::body;
-use crate::callers::entry;
-use crate::callers::lookup;
-use crate::callers::respond;
-use crate::decisions;
-use crate::head;
-use crate::runner;
-use crate::settings;
-use crate::stats;
+use crate::common::body;
+use crate::common::head;
+use crate::owner::callers::entry;
+use crate::owner::callers::lookup;
+use crate::owner::callers::respond;
+use crate::owner::decisions;
+use crate::owner::runner;
+use crate::owner::settings;
+use crate::owner::stats;
 
 /// Requests that one HTTP/2 connection may have open.
 const STREAMS: u32 = 256;
--- a/crates/node/src/callers/lookup.rs
+++ b/crates/node/src/owner/callers/lookup.rs
@@ -6,11 +6,11 @@
 use model::id;
 use serde::Serialize;
 
-use crate::body;
-use crate::callers::respond;
-use crate::decisions;
-use crate::settings;
-use crate::view;
+use crate::common::body;
+use crate::owner::callers::respond;
+use crate::owner::decisions;
+use crate::owner::settings;
+use crate::owner::view;
 
 /// Path of look-ups.
 pub const PATH: &str = "/yokespoke/v1/lookup";
--- a/crates/node/src/callers/respond.rs
+++ b/crates/node/src/owner/callers/respond.rs
@@ -4,8 +4,8 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use model::verdict;
 
-use crate::body;
-use crate::head;
+use crate::common::body;
+use crate::common::head;
 
 /// Returns the answer to a request that failed.
 #[must_use]
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/owner/decider.rs
@@ -9,17 +9,17 @@
 use model::epoch;
 use model::id;
 use model::revision;
-use steer::action;
-use steer::beat;
-use steer::core;
-use steer::event;
-use steer::request;
-use steer::ticket;
+use steer::ownership::action;
+use steer::ownership::beat;
+use steer::ownership::core;
+use steer::ownership::event;
+use steer::ownership::request;
+use steer::ownership::ticket;
 use tokio::sync::oneshot;
 
-use crate::answer;
-use crate::decisions;
-use crate::view;
+use crate::owner::answer;
+use crate::owner::decisions;
+use crate::owner::view;
 
 /// Time between two ticks: the grain of waits and holds.
 const TICK: Duration = Duration::from_millis(20);
--- a/crates/node/src/decisions.rs
+++ b/crates/node/src/owner/decisions.rs
@@ -15,17 +15,17 @@
 use model::id;
 use model::service;
 use model::verdict;
-use steer::action;
-use steer::beat;
-use steer::core;
-use steer::event;
-use steer::request;
-use steer::ticket;
+use steer::ownership::action;
+use steer::ownership::beat;
+use steer::ownership::core;
+use steer::ownership::event;
+use steer::ownership::request;
+use steer::ownership::ticket;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::answer;
-use crate::decider;
-use crate::view;
+use crate::owner::answer;
+use crate::owner::decider;
+use crate::owner::view;
 
 /// Asks that may wait for the deciding thread.
 const ASKS: usize = 4_096;
--- a/crates/node/src/failed.rs
+++ b/crates/node/src/owner/failed.rs
@@ -2,7 +2,7 @@
 
 use model::id;
 use model::verdict;
-use steer::beat;
+use steer::ownership::beat;
 
 /// How one try failed.
 #[derive(Clone, Debug)]
--- /dev/null
+++ b/crates/node/src/owner/mod.rs
@@ -0,0 +1,17 @@
+//! A node that owns upstreams: its threads and sockets around the decisions of [`steer::ownership`].
+
+pub mod answer;
+pub mod callers;
+pub mod decider;
+pub mod decisions;
+pub mod duty;
+pub mod failed;
+pub mod node;
+pub mod operators;
+pub mod peers;
+pub mod probes;
+pub mod runner;
+pub mod settings;
+pub mod stats;
+pub mod store;
+pub mod view;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/owner/node.rs
@@ -9,23 +9,25 @@
 use model::epoch;
 use model::revision;
 use model::seat;
-use steer::beat;
-use steer::core;
-use steer::event;
+use steer::ownership::beat;
+use steer::ownership::core;
+use steer::ownership::event;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-use crate::callers;
-use crate::decisions;
-use crate::duty;
-use crate::operators;
-use crate::peers;
-use crate::probes;
-use crate::runner;
-use crate::settings;
-use crate::stats;
-use crate::store;
-use crate::view;
+use crate::common::store::client;
+use crate::owner::callers;
+use crate::owner::decisions;
+use crate::owner::duty;
+use crate::owner::operators;
+use crate::owner::peers;
+use crate::owner::probes;
+use crate::owner::runner;
+use crate::owner::settings;
+use crate::owner::stats;
+use crate::owner::store::keep;
+use crate::owner::store::vmlist;
+use crate::owner::view;
 
 /// Beats and fetches that wait for the peers' duty.
 const OUTGOING: usize = 256;
@@ -77,7 +79,7 @@
         let outputs = decisions::Outputs { peers: outgoing, tables, view };
         let (handle, thread) = decisions::start(core, outputs, clock, settings.limits.requests)?;
         let stats = sync::Arc::new(stats::Stats::new());
-        let calls = sync::Arc::new(store::client::Calls::default());
+        let calls = sync::Arc::new(client::Calls::default());
         let (stop_callers, stopped) = watch::channel(false);
         let duties = vec![
             start_callers(settings, &handle, sync::Arc::clone(&stats), callers, stopped)?,
@@ -206,20 +208,20 @@
 fn start_store(
     settings: &settings::Settings,
     handle: &decisions::Handle,
-    calls: sync::Arc<store::client::Calls>,
+    calls: sync::Arc<client::Calls>,
     to_write: mpsc::Receiver<sync::Arc<model::table::Table>>,
-    to_grant: mpsc::Receiver<store::keep::Wish>,
+    to_grant: mpsc::Receiver<keep::Wish>,
 ) -> io::Result<duty::Duty> {
     let handle = handle.clone();
     let region = settings.region.clone();
     let address = settings.store;
     let vms = settings.vms;
     duty::Duty::start("store", move || async move {
-        let client = store::client::Client::new(address, calls);
-        let keeper = store::keep::Keeper::new(client, handle.clone(), region);
+        let client = client::Client::new(address, calls);
+        let keeper = keep::Keeper::new(client, handle.clone(), region);
         let list = async {
             match vms {
-                Some(vms) => store::vmlist::run(vms, handle).await,
+                Some(vms) => vmlist::run(vms, handle).await,
                 None => std::future::pending().await,
             }
         };
@@ -236,8 +238,8 @@
     settings: &settings::Settings,
     handle: &decisions::Handle,
     stats: sync::Arc<stats::Stats>,
-    calls: sync::Arc<store::client::Calls>,
-    wishes: mpsc::Sender<store::keep::Wish>,
+    calls: sync::Arc<client::Calls>,
+    wishes: mpsc::Sender<keep::Wish>,
     listener: std::net::TcpListener,
 ) -> io::Result<duty::Duty> {
     let access = operators::access::Access::new(&settings.operators);
--- a/crates/node/src/operators/access.rs
+++ b/crates/node/src/owner/operators/access.rs
@@ -4,7 +4,7 @@
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq as _;
 
-use crate::settings;
+use crate::owner::settings;
 
 /// The tokens that are accepted.
 #[derive(Clone)]
--- a/crates/node/src/operators/api.rs
+++ b/crates/node/src/owner/operators/api.rs
@@ -18,17 +18,17 @@
 use serde_json::json;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::decisions;
-use crate::operators::access;
-use crate::operators::dump;
-use crate::operators::problem::Problem;
-use crate::operators::status;
-use crate::operators::stream;
-use crate::settings;
-use crate::stats;
-use crate::store::accept;
-use crate::store::client;
-use crate::store::keep;
+use crate::common::store::accept;
+use crate::common::store::client;
+use crate::owner::decisions;
+use crate::owner::operators::access;
+use crate::owner::operators::dump;
+use crate::owner::operators::problem::Problem;
+use crate::owner::operators::status;
+use crate::owner::operators::stream;
+use crate::owner::settings;
+use crate::owner::stats;
+use crate::owner::store::keep;
 
 /// Largest body of a change: a store's value.
 const LARGEST_BODY: usize = 1 << 20;
--- a/crates/node/src/operators/dump.rs
+++ b/crates/node/src/owner/operators/dump.rs
@@ -6,9 +6,9 @@
 use model::id;
 use serde::Serialize;
 
-use crate::decider;
-use crate::stats;
-use crate::store::client;
+use crate::common::store::client;
+use crate::owner::decider;
+use crate::owner::stats;
 
 /// The state of a node.
 #[derive(Clone, Debug, Serialize)]
@@ -190,8 +190,8 @@
     }
 }
 
-fn members(core: &steer::core::Core, now: Instant) -> Vec<Member> {
-    let member = |known: &steer::members::Known| Member {
+fn members(core: &steer::ownership::core::Core, now: Instant) -> Vec<Member> {
+    let member = |known: &steer::ownership::members::Known| Member {
         node: known.member.key.to_string(),
         region: known.member.region.clone(),
         is_alive: core.is_alive(&known.member.key, now),
@@ -204,25 +204,28 @@
     core.members.iter().map(member).collect()
 }
 
-fn upstreams(core: &steer::core::Core, now: Instant) -> Vec<Upstream> {
-    let upstream = |(key, u): (&steer::instance::Key, &steer::upstream::Upstream)| Upstream {
-        upstream: key.to_string(),
-        home: u.ledger.rights.home().map(ToString::to_string),
-        slots: u.ledger.slots,
-        usable: u.ledger.rights.usable,
-        borrowed: u.ledger.borrowed_slots(now),
-        lent: u.ledger.lent_slots(now),
-        limit: u.limit(now),
-        in_flight: u.ledger.in_flight(),
-        is_drained: u.is_drained,
-        is_usable: u.health.is_usable(now),
-        usual_ms: u.warmth.usual().map(|seconds| seconds * 1_000.0),
-    };
+fn upstreams(core: &steer::ownership::core::Core, now: Instant) -> Vec<Upstream> {
+    let upstream =
+        |(key, u): (&steer::ownership::instance::Key, &steer::ownership::upstream::Upstream)| {
+            Upstream {
+                upstream: key.to_string(),
+                home: u.ledger.rights.home().map(ToString::to_string),
+                slots: u.ledger.slots,
+                usable: u.ledger.rights.usable,
+                borrowed: u.ledger.borrowed_slots(now),
+                lent: u.ledger.lent_slots(now),
+                limit: u.limit(now),
+                in_flight: u.ledger.in_flight(),
+                is_drained: u.is_drained,
+                is_usable: u.health.is_usable(now),
+                usual_ms: u.warmth.usual().map(|seconds| seconds * 1_000.0),
+            }
+        };
     core.home.upstreams.iter().map(upstream).collect()
 }
 
-fn services(core: &steer::core::Core, now: Instant) -> Vec<Service> {
-    let service = |(name, measured): (id::Service, steer::router::Measured)| Service {
+fn services(core: &steer::ownership::core::Core, now: Instant) -> Vec<Service> {
+    let service = |(name, measured): (id::Service, steer::ownership::router::Measured)| Service {
         queued: core.home.queue_len(&name),
         service: name,
         capacities: measured.capacities,
@@ -232,9 +235,9 @@
     core.measured(now).into_iter().map(service).collect()
 }
 
-fn splits(core: &steer::core::Core) -> Vec<Split> {
+fn splits(core: &steer::ownership::core::Core) -> Vec<Split> {
     let per_cent = |share: u32| f64::from(share) / 10_000.0;
-    let split = |position: steer::beat::Position| Split {
+    let split = |position: steer::ownership::beat::Position| Split {
         shares: position.split.parts().map(|(r, s)| (r.clone(), per_cent(s))).collect(),
         service: position.service,
         place: position.place,
--- a/crates/node/src/operators/status.rs
+++ b/crates/node/src/owner/operators/status.rs
@@ -5,7 +5,7 @@
 use model::revision;
 use serde::{Deserialize, Serialize};
 
-use crate::view;
+use crate::owner::view;
 
 /// A resource with its standing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/node/src/operators/stream.rs
+++ b/crates/node/src/owner/operators/stream.rs
@@ -13,8 +13,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio_stream::wrappers::ReceiverStream;
 
-use crate::operators::status;
-use crate::view;
+use crate::owner::operators::status;
+use crate::owner::view;
 
 /// Lines that wait for a slow reader; one that falls behind further is disconnected.
 const LINES: usize = 1_024;
--- a/crates/node/src/peers/beats.rs
+++ b/crates/node/src/owner/peers/beats.rs
@@ -5,15 +5,15 @@
 use std::time::{Duration, Instant};
 
 use model::id;
-use steer::beat;
-use steer::event;
+use steer::ownership::beat;
+use steer::ownership::event;
 use tokio::sync::{Semaphore, mpsc};
 use wire::peer;
 
-use crate::decisions;
-use crate::peers::convert;
-use crate::peers::face;
-use crate::peers::links;
+use crate::owner::decisions;
+use crate::owner::peers::convert;
+use crate::owner::peers::face;
+use crate::owner::peers::links;
 
 /// Time for an answer to a beat.
 const BEAT_TIME: Duration = Duration::from_secs(1);
--- a/crates/node/src/peers/carrier.rs
+++ b/crates/node/src/owner/peers/carrier.rs
@@ -10,15 +10,15 @@
 use http_body_util::{BodyExt as _, StreamBody};
 use model::id;
 use model::verdict;
-use steer::beat;
+use steer::ownership::beat;
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 use wire::peer;
 
-use crate::body;
-use crate::failed;
-use crate::peers::convert;
-use crate::peers::links;
+use crate::common::body;
+use crate::owner::failed;
+use crate::owner::peers::convert;
+use crate::owner::peers::links;
 
 /// Parts of a body that wait to be sent.
 const PARTS: usize = 8;
--- a/crates/node/src/peers/convert.rs
+++ b/crates/node/src/owner/peers/convert.rs
@@ -8,9 +8,9 @@
 use model::revision;
 use model::seat;
 use model::table;
-use steer::beat;
-use steer::instance;
-use steer::split;
+use steer::common::split;
+use steer::ownership::beat;
+use steer::ownership::instance;
 use wire::peer;
 
 /// Returns a beat as its message.
--- a/crates/node/src/peers/face.rs
+++ b/crates/node/src/owner/peers/face.rs
@@ -19,14 +19,14 @@
 use wire::peer;
 use wire::peer::peer_server::{Peer, PeerServer};
 
-use crate::body;
-use crate::callers::entry;
-use crate::decisions;
-use crate::failed;
-use crate::peers::carrier;
-use crate::peers::convert;
-use crate::peers::links;
-use crate::runner;
+use crate::common::body;
+use crate::owner::callers::entry;
+use crate::owner::decisions;
+use crate::owner::failed;
+use crate::owner::peers::carrier;
+use crate::owner::peers::convert;
+use crate::owner::peers::links;
+use crate::owner::runner;
 
 /// Parts of an answer that wait to be sent.
 const PARTS: usize = 8;
--- a/crates/node/src/probes.rs
+++ b/crates/node/src/owner/probes.rs
@@ -10,12 +10,12 @@
 use hyper_util::client::legacy;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt;
-use steer::event;
-use steer::instance;
-use steer::report;
+use steer::ownership::event;
+use steer::ownership::instance;
+use steer::ownership::report;
 use tokio::sync::Semaphore;
 
-use crate::decisions;
+use crate::owner::decisions;
 
 /// Time between two probes of one upstream.
 const EVERY: Duration = Duration::from_secs(1);
@@ -56,9 +56,12 @@
 }
 
 /// Returns the upstreams this node has a share of, the ones whose work it may have to run.
-fn ranked(core: &steer::core::Core) -> collections::BTreeMap<instance::Key, net::SocketAddr> {
+fn ranked(
+    core: &steer::ownership::core::Core,
+) -> collections::BTreeMap<instance::Key, net::SocketAddr> {
     let upstreams = core.home.upstreams.iter();
-    let home = |u: &steer::upstream::Upstream| u.ledger.rights.home() == Some(&core.me.key);
+    let home =
+        |u: &steer::ownership::upstream::Upstream| u.ledger.rights.home() == Some(&core.me.key);
     let used = upstreams.filter(|(_, u)| home(u) || u.ledger.in_flight() > 0);
     used.map(|(key, u)| (key.clone(), u.address)).collect()
 }
--- a/crates/node/src/runner.rs
+++ b/crates/node/src/owner/runner.rs
@@ -17,13 +17,13 @@
 use model::id;
 use model::service;
 use model::verdict;
-use steer::beat;
-use steer::request;
+use steer::ownership::beat;
+use steer::ownership::request;
 
-use crate::body;
-use crate::decisions;
-use crate::failed;
-use crate::head;
+use crate::common::body;
+use crate::common::head;
+use crate::owner::decisions;
+use crate::owner::failed;
 
 /// Time to make a connection to an upstream.
 const CONNECT_TIME: Duration = Duration::from_secs(1);
--- a/crates/node/src/store/keep.rs
+++ b/crates/node/src/owner/store/keep.rs
@@ -13,13 +13,13 @@
 use model::epoch;
 use model::id;
 use model::table;
-use steer::event;
+use steer::ownership::event;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::decisions;
-use crate::store::accept;
-use crate::store::edge;
-use crate::view;
+use crate::common::store::accept;
+use crate::common::store::edge;
+use crate::owner::decisions;
+use crate::owner::view;
 
 /// Time that one watch waits.
 const WATCH: Duration = Duration::from_secs(25);
--- a/crates/node/src/store/vmlist.rs
+++ b/crates/node/src/owner/store/vmlist.rs
@@ -8,10 +8,10 @@
 use hyper_util::client::legacy;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt;
-use steer::event;
-use steer::vms;
+use steer::ownership::event;
+use steer::ownership::vms;
 
-use crate::decisions;
+use crate::owner::decisions;
 
 /// Time between two reads.
 const EVERY: Duration = Duration::from_secs(1);
--- a/crates/node/tests/logging.rs
+++ b/crates/node/tests/logging.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 
-use node::log_writer::LogWriter;
+use node::common::log_writer::LogWriter;
 
 /// An output that takes nothing until it is opened.
 #[derive(Clone, Default)]
--- a/crates/node/tests/process/rig.rs
+++ b/crates/node/tests/process/rig.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body_util::Full;
-use node::operators::access;
+use node::owner::operators::access;
 use serde_json::Value;
 use standin::{client, pattern, store, truth, upstream, vms};
 
--- a/crates/steer/src/ramp.rs
+++ b/crates/steer/src/common/ramp.rs
@@ -6,7 +6,7 @@
 use model::cap;
 use model::fraction;
 
-use crate::split;
+use crate::common::split;
 
 /// Part of the cap that is used, so that rounding and the grain of requests stay inside it.
 const USED_PERCENT: u32 = 95;
--- a/crates/steer/src/dispatch/dispatcher/mod.rs
+++ b/crates/steer/src/dispatch/dispatcher/mod.rs
@@ -13,6 +13,8 @@
 use model::route;
 use model::routing;
 
+use crate::common::ramp;
+use crate::common::split;
 use crate::dispatch::backend;
 use crate::dispatch::cold;
 use crate::dispatch::lapse;
@@ -22,8 +24,6 @@
 use crate::dispatch::round_robin;
 use crate::dispatch::spill;
 use crate::dispatch::work;
-use crate::ramp;
-use crate::split;
 
 /// Where a node stands.
 #[derive(Clone, Debug)]
--- a/crates/steer/src/dispatch/dispatcher/regions.rs
+++ b/crates/steer/src/dispatch/dispatcher/regions.rs
@@ -8,10 +8,10 @@
 use xxhash_rust::xxh3;
 
 use super::{Dispatcher, Rotation, Scope};
+use crate::common::ramp;
+use crate::common::split;
 use crate::dispatch::ask;
 use crate::dispatch::shares;
-use crate::ramp;
-use crate::split;
 
 /// Window in which the share that changes region is bounded.
 const SHIFT_WINDOW: Duration = Duration::from_secs(2);
--- a/crates/steer/src/dispatch/shares.rs
+++ b/crates/steer/src/dispatch/shares.rs
@@ -6,7 +6,7 @@
 
 use model::id;
 
-use crate::split;
+use crate::common::split;
 
 /// Usable slots of one region.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/steer/src/action.rs
+++ b/crates/steer/src/ownership/action.rs
@@ -8,8 +8,8 @@
 use model::table;
 use model::verdict;
 
-use crate::beat;
-use crate::request;
+use crate::ownership::beat;
+use crate::ownership::request;
 
 /// Something to do.
 #[derive(Clone, Debug)]
--- a/crates/steer/src/beat.rs
+++ b/crates/steer/src/ownership/beat.rs
@@ -11,8 +11,8 @@
 use model::seat;
 use model::table;
 
-use crate::instance;
-use crate::split;
+use crate::common::split;
+use crate::ownership::instance;
 
 /// One node as it describes itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/steer/src/core.rs
+++ b/crates/steer/src/ownership/core.rs
@@ -13,15 +13,15 @@
 use model::table;
 use model::verdict;
 
-use crate::action;
-use crate::beat;
-use crate::event;
-use crate::home;
-use crate::members;
-use crate::peering;
-use crate::registrar;
-use crate::router;
-use crate::vms;
+use crate::ownership::action;
+use crate::ownership::beat;
+use crate::ownership::event;
+use crate::ownership::home;
+use crate::ownership::members;
+use crate::ownership::peering;
+use crate::ownership::registrar;
+use crate::ownership::router;
+use crate::ownership::vms;
 
 /// Time between two beats of a node.
 pub const BEAT: Duration = Duration::from_millis(500);
@@ -236,7 +236,7 @@
 
     /// Gives no more work to a home that could not be reached, until it is heard of again. It has
     /// nothing outstanding, so it would look like the least loaded of all.
-    fn suspect_home(&mut self, request: crate::request::Id, now: Instant) {
+    fn suspect_home(&mut self, request: crate::ownership::request::Id, now: Instant) {
         if let Some(home) = self.router.home_of(request).cloned() {
             self.members.fail(&home, now);
             self.refresh(now);
--- a/crates/steer/src/event.rs
+++ b/crates/steer/src/ownership/event.rs
@@ -9,11 +9,11 @@
 use model::table;
 use model::verdict;
 
-use crate::beat;
-use crate::instance;
-use crate::report;
-use crate::request;
-use crate::vms;
+use crate::ownership::beat;
+use crate::ownership::instance;
+use crate::ownership::report;
+use crate::ownership::request;
+use crate::ownership::vms;
 
 /// Something that happened.
 #[derive(Clone, Debug)]
--- a/crates/steer/src/health.rs
+++ b/crates/steer/src/ownership/health.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::report;
+use crate::ownership::report;
 
 /// Failures in a row after which an upstream is left alone for a while.
 const FAILURES: u32 = 3;
--- a/crates/steer/src/home.rs
+++ b/crates/steer/src/ownership/home.rs
@@ -10,20 +10,20 @@
 use model::table;
 use model::verdict;
 
-use crate::action;
-use crate::beat;
-use crate::health;
-use crate::instance;
-use crate::ledger;
-use crate::loan;
-use crate::queue;
-use crate::rates;
-use crate::report;
-use crate::request;
-use crate::rights;
-use crate::upstream;
-use crate::vms;
-use crate::warmth;
+use crate::ownership::action;
+use crate::ownership::beat;
+use crate::ownership::health;
+use crate::ownership::instance;
+use crate::ownership::ledger;
+use crate::ownership::loan;
+use crate::ownership::queue;
+use crate::ownership::rates;
+use crate::ownership::report;
+use crate::ownership::request;
+use crate::ownership::rights;
+use crate::ownership::upstream;
+use crate::ownership::vms;
+use crate::ownership::warmth;
 
 /// Time for which a slot stays taken after its request was abandoned, so that the upstream has
 /// noticed the closed connection.
--- a/crates/steer/src/homes.rs
+++ b/crates/steer/src/ownership/homes.rs
@@ -8,9 +8,9 @@
 use model::service;
 use model::table;
 
-use crate::instance;
-use crate::rank;
-use crate::share;
+use crate::ownership::instance;
+use crate::ownership::rank;
+use crate::ownership::share;
 
 /// A node that is home of upstreams of one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/steer/src/lane.rs
+++ b/crates/steer/src/ownership/lane.rs
@@ -4,9 +4,9 @@
 
 use model::id;
 
-use crate::ramp;
-use crate::split;
-use crate::wheel;
+use crate::common::ramp;
+use crate::common::split;
+use crate::ownership::wheel;
 
 /// The moving split of one lane and the turn of its regions.
 #[derive(Clone, Debug)]
--- a/crates/steer/src/ledger.rs
+++ b/crates/steer/src/ownership/ledger.rs
@@ -5,8 +5,8 @@
 
 use model::seat;
 
-use crate::loan;
-use crate::rights;
+use crate::ownership::loan;
+use crate::ownership::rights;
 
 /// Whose slot a request holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/steer/src/members.rs
+++ b/crates/steer/src/ownership/members.rs
@@ -11,7 +11,7 @@
 use model::seat;
 use model::table;
 
-use crate::beat;
+use crate::ownership::beat;
 
 /// Silence after which a node gets no new work.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(2_500);
--- a/crates/steer/src/peering.rs
+++ b/crates/steer/src/ownership/peering.rs
@@ -7,8 +7,8 @@
 use model::epoch;
 use model::id;
 
-use crate::beat;
-use crate::members;
+use crate::ownership::beat;
+use crate::ownership::members;
 
 /// Nodes of the own region that get a beat each time, beside lenders.
 const NEAR: usize = 2;
--- a/crates/steer/src/planner.rs
+++ b/crates/steer/src/ownership/planner.rs
@@ -9,7 +9,7 @@
 
 use model::id;
 
-use crate::split;
+use crate::common::split;
 
 /// Part of a region's usable slots that the planner fills, so that a surge finds headroom.
 pub const MARGIN: f64 = 0.85;
--- a/crates/steer/src/queue.rs
+++ b/crates/steer/src/ownership/queue.rs
@@ -5,7 +5,7 @@
 
 use model::id;
 
-use crate::request;
+use crate::ownership::request;
 
 /// A request that waits.
 #[derive(Clone, Debug)]
--- a/crates/steer/src/rank.rs
+++ b/crates/steer/src/ownership/rank.rs
@@ -7,7 +7,7 @@
 use model::seat;
 use xxhash_rust::xxh3;
 
-use crate::instance;
+use crate::ownership::instance;
 
 /// Nodes that hold a share of an upstream's slots.
 pub const RANKS: usize = 3;
--- a/crates/steer/src/registrar.rs
+++ b/crates/steer/src/ownership/registrar.rs
@@ -9,9 +9,9 @@
 use model::seat;
 use model::table;
 
-use crate::beat;
-use crate::members;
-use crate::vms;
+use crate::ownership::beat;
+use crate::ownership::members;
+use crate::ownership::vms;
 
 /// Time that each node waits longer than the one before it by name.
 const TURN: Duration = Duration::from_millis(1_000);
--- a/crates/steer/src/retry.rs
+++ b/crates/steer/src/ownership/retry.rs
@@ -3,7 +3,7 @@
 use model::service;
 use model::verdict;
 
-use crate::budget;
+use crate::ownership::budget;
 
 /// Most times one request is sent to a home, beside homes that had no slot free at once.
 pub const MOST_TRIES: u32 = 3;
--- a/crates/steer/src/rights.rs
+++ b/crates/steer/src/ownership/rights.rs
@@ -16,9 +16,9 @@
 use model::seat;
 use model::table;
 
-use crate::instance;
-use crate::rank;
-use crate::share;
+use crate::ownership::instance;
+use crate::ownership::rank;
+use crate::ownership::share;
 
 /// Shares of one upstream over the epochs that still count.
 #[derive(Clone, Debug)]
--- a/crates/steer/src/router.rs
+++ b/crates/steer/src/ownership/router.rs
@@ -10,17 +10,17 @@
 use model::table;
 use model::verdict;
 
-use crate::action;
-use crate::beat;
-use crate::budget;
-use crate::homes;
-use crate::lane;
-use crate::planner;
-use crate::ramp;
-use crate::request;
-use crate::retry;
-use crate::split;
-use crate::summaries;
+use crate::common::ramp;
+use crate::common::split;
+use crate::ownership::action;
+use crate::ownership::beat;
+use crate::ownership::budget;
+use crate::ownership::homes;
+use crate::ownership::lane;
+use crate::ownership::planner;
+use crate::ownership::request;
+use crate::ownership::retry;
+use crate::ownership::summaries;
 
 /// Usual time of an answer before one was measured, in seconds.
 const FIRST_GUESS: f64 = 0.05;
--- a/crates/steer/src/summaries.rs
+++ b/crates/steer/src/ownership/summaries.rs
@@ -9,7 +9,7 @@
 use model::id;
 use model::seat;
 
-use crate::beat;
+use crate::ownership::beat;
 
 /// Age at which a home's summary says nothing any more.
 pub const HOME_LIFE: Duration = Duration::from_secs(4);
--- a/crates/steer/src/upstream.rs
+++ b/crates/steer/src/ownership/upstream.rs
@@ -5,9 +5,9 @@
 
 use model::id;
 
-use crate::health;
-use crate::ledger;
-use crate::warmth;
+use crate::ownership::health;
+use crate::ownership::ledger;
+use crate::ownership::warmth;
 
 /// One upstream of this region.
 #[derive(Clone, Debug)]
--- a/crates/steer/src/wheel.rs
+++ b/crates/steer/src/ownership/wheel.rs
@@ -9,7 +9,7 @@
 use model::fraction;
 use model::id;
 
-use crate::split;
+use crate::common::split;
 
 /// The credits of one place's requests for one service.
 #[derive(Clone, Debug, Default)]
--- a/crates/steer/tests/caps.rs
+++ b/crates/steer/tests/caps.rs
@@ -6,10 +6,10 @@
 use model::fraction::{self, Fraction};
 use model::id;
 use quickcheck::{Gen, QuickCheck};
-use steer::planner;
-use steer::ramp;
-use steer::split::Split;
-use steer::wheel::Wheel;
+use steer::common::ramp;
+use steer::common::split::Split;
+use steer::ownership::planner;
+use steer::ownership::wheel::Wheel;
 
 const REGIONS: [&str; 4] = ["a", "b", "c", "d"];
 
--- a/crates/steer/tests/core.rs
+++ b/crates/steer/tests/core.rs
@@ -14,14 +14,14 @@
 use model::seat::{Key, Seat};
 use model::snapshot::Snapshot;
 use model::table::Table;
-use steer::action::Action;
-use steer::beat::Member;
-use steer::core::Core;
-use steer::event::Event;
-use steer::instance;
-use steer::report::Report;
-use steer::request::{Id, Offer, Outcome};
-use steer::vms;
+use steer::ownership::action::Action;
+use steer::ownership::beat::Member;
+use steer::ownership::core::Core;
+use steer::ownership::event::Event;
+use steer::ownership::instance;
+use steer::ownership::report::Report;
+use steer::ownership::request::{Id, Offer, Outcome};
+use steer::ownership::vms;
 
 const SERVICE: &str = "name: search\nhost: search.example\nreport: /report\nupstreams:\n  - { name: \
                        one, region: here, hall: h1, address: \"10.0.1.1:80\", slots: 4 }\n";
--- a/crates/steer/tests/dispatch.rs
+++ b/crates/steer/tests/dispatch.rs
@@ -298,7 +298,8 @@
     let capacity =
         |region: &str, slots| shares::Capacity { region: id::Region::new(region), slots };
     let capacities = [capacity("a", 12.0), capacity("b", 48.0), capacity("c", 60.0)];
-    let share = |split: &steer::split::Split, region: &str| split.share(&id::Region::new(region));
+    let share =
+        |split: &steer::common::split::Split, region: &str| split.share(&id::Region::new(region));
     let small = shares::target(&id::Region::new("a"), &capacities);
     assert_eq!(share(&small, "a"), 300_000);
     // The rest goes where there is slack: 8 of 28 to b, 20 of 28 to c.
--- a/crates/steer/tests/fleet/oracle.rs
+++ b/crates/steer/tests/fleet/oracle.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use model::id;
-use steer::request;
+use steer::ownership::request;
 
 /// A request that an upstream holds.
 #[derive(Clone, Debug)]
--- a/crates/steer/tests/fleet/world.rs
+++ b/crates/steer/tests/fleet/world.rs
@@ -16,14 +16,14 @@
 use model::snapshot;
 use model::table;
 use model::upstream;
-use steer::action;
-use steer::beat;
-use steer::core;
-use steer::event;
-use steer::home;
-use steer::ledger;
-use steer::request;
-use steer::vms;
+use steer::ownership::action;
+use steer::ownership::beat;
+use steer::ownership::core;
+use steer::ownership::event;
+use steer::ownership::home;
+use steer::ownership::ledger;
+use steer::ownership::request;
+use steer::ownership::vms;
 
 use crate::coverage;
 use crate::oracle;
@@ -356,8 +356,10 @@
         self.met.note_if(!self.cuts.is_empty(), "run while links are cut");
         self.met.note_if(!self.is_store_up, "run while the store is away");
         let Some(core) = &self.nodes[number].core else { return };
-        let key =
-            steer::instance::Key { service: id::Service::new(SERVICE), upstream: upstream.clone() };
+        let key = steer::ownership::instance::Key {
+            service: id::Service::new(SERVICE),
+            upstream: upstream.clone(),
+        };
         let Some(ledger) = core.home.upstreams.get(&key).map(|u| &u.ledger) else { return };
         let in_doubt = ledger.rights.home() != Some(&core.me.key);
         let on_loan = ledger.held().any(|(_, slots)| slots > 0);
@@ -524,13 +526,13 @@
     }
 
     fn capacity(&self, number: usize, index: usize) -> u32 {
-        let key = steer::instance::Key {
+        let key = steer::ownership::instance::Key {
             service: id::Service::new(SERVICE),
             upstream: id::Upstream::new(&index.to_string()),
         };
         let core = self.nodes[number].core.as_ref();
         let upstream = core.and_then(|core| core.home.upstreams.get(&key));
-        upstream.map_or(0, |u: &steer::upstream::Upstream| {
+        upstream.map_or(0, |u: &steer::ownership::upstream::Upstream| {
             let ledger: &ledger::Ledger = &u.ledger;
             ledger.capacity(self.now)
         })
--- a/crates/steer/tests/tickets.rs
+++ b/crates/steer/tests/tickets.rs
@@ -6,7 +6,7 @@
 use model::id;
 use model::verdict::{Failure, Reason};
 use quickcheck::{Gen, QuickCheck};
-use steer::ticket::{Claim, Issuer, LIFE, Outcome, Table, Ticket};
+use steer::ownership::ticket::{Claim, Issuer, LIFE, Outcome, Table, Ticket};
 
 fn table(origin: Instant) -> (Issuer, Table<u32>) {
     let issuer = Issuer::new(id::Node::new("node-1"), 7, origin);
--- a/crates/steer/tests/verdicts.rs
+++ b/crates/steer/tests/verdicts.rs
@@ -2,8 +2,8 @@
 
 use model::service::Repetition;
 use model::verdict::{Failure, Reason, Verdict};
-use steer::budget::Budget;
-use steer::retry;
+use steer::ownership::budget::Budget;
+use steer::ownership::retry;
 
 #[test]
 fn a_refusal_after_a_try_that_may_have_run_is_not_called_not_run() {
