--- a/crates/cli/src/demo/platform/fleet.rs
+++ b/crates/cli/src/demo/platform/fleet.rs
@@ -5,10 +5,10 @@
 use std::sync;
 use std::time::{Duration, Instant};
 
-use ::platform::{config, endpoint as entry, fact};
-use model::{document, endpoint, id, route, routing};
+use ::platform::{config, fact, upstream as entry};
+use model::{discovery, document, id, route, routing};
 use node::gateway::{settings, thread};
-use standin::platform::{door, instance, store};
+use standin::platform::{door, store, upstream};
 
 /// Regions, each with two halls.
 const REGIONS: [&str; 3] = ["east", "north", "west"];
@@ -40,7 +40,7 @@
     pub gateways: collections::BTreeMap<String, (thread::Thread, sync::Arc<door::Door>)>,
     /// Where callers may send requests; changes as gateways come and go.
     pub addresses: sync::Arc<sync::RwLock<Vec<net::SocketAddr>>>,
-    upstreams: Vec<(endpoint::Endpoint, instance::Instance)>,
+    upstreams: Vec<(discovery::Entry, upstream::Upstream)>,
     version: u64,
 }
 
@@ -103,18 +103,18 @@
 
     /// Lets the first upstream of a hall say that it leaves.
     pub fn drain_upstream(&mut self, hall: &str) {
-        let in_hall = |(e, _): &&mut (endpoint::Endpoint, _)| e.hall.as_str() == hall;
-        let Some((endpoint, _)) = self.upstreams.iter_mut().find(in_hall) else { return };
-        endpoint.state = endpoint::State::Draining;
-        self.store.put(&key(&endpoint.id), &entry::write(endpoint));
+        let in_hall = |(e, _): &&mut (discovery::Entry, _)| e.hall.as_str() == hall;
+        let Some((listed, _)) = self.upstreams.iter_mut().find(in_hall) else { return };
+        listed.state = discovery::State::Draining;
+        self.store.put(&key(&listed.id), &entry::write(listed));
     }
 
     /// Lets one upstream in `every` answer in this manner, the others soundly.
-    pub fn misbehave(&self, manner: instance::Manner, every: usize) {
-        for (index, (_, instance)) in self.upstreams.iter().enumerate() {
-            instance.set(match index % every {
+    pub fn misbehave(&self, manner: upstream::Manner, every: usize) {
+        for (index, (_, standin)) in self.upstreams.iter().enumerate() {
+            standin.set(match index % every {
                 0 => manner,
-                _ => instance::Manner::Slow(WORK),
+                _ => upstream::Manner::Slow(WORK),
             });
         }
     }
@@ -149,8 +149,8 @@
 
     /// Returns what every upstream did.
     #[must_use]
-    pub fn records(&self) -> Vec<instance::Record> {
-        self.upstreams.iter().map(|(_, instance)| instance.record()).collect()
+    pub fn records(&self) -> Vec<upstream::Record> {
+        self.upstreams.iter().map(|(_, standin)| standin.record()).collect()
     }
 
     async fn add_upstream(
@@ -160,19 +160,19 @@
         index: usize,
     ) -> anyhow::Result<()> {
         let name = format!("{service}-{hall}-{index}");
-        let instance = instance::Instance::start(&name).await?;
-        instance.set(instance::Manner::Slow(WORK));
-        let endpoint = endpoint::Endpoint {
+        let standin = upstream::Upstream::start(&name).await?;
+        standin.set(upstream::Manner::Slow(WORK));
+        let listed = discovery::Entry {
             id: id::Upstream::new(&name),
             service: id::Service::new(service),
-            address: instance.address,
+            address: standin.address,
             hall: id::Hall::new(hall),
             slots: SLOTS,
-            state: endpoint::State::Ready,
+            state: discovery::State::Ready,
             cold_left: Duration::ZERO,
         };
-        self.store.put(&key(&endpoint.id), &entry::write(&endpoint));
-        self.upstreams.push((endpoint, instance));
+        self.store.put(&key(&listed.id), &entry::write(&listed));
+        self.upstreams.push((listed, standin));
         Ok(())
     }
 
@@ -235,7 +235,7 @@
 }
 
 fn key(upstream: &id::Upstream) -> String {
-    format!("{}{upstream}", fact::ENDPOINTS)
+    format!("{}{upstream}", fact::UPSTREAMS)
 }
 
 fn a_route(name: &str, prefix: &str, kind: route::Kind, service: &str) -> route::Route {
--- a/crates/cli/src/demo/platform/phases.rs
+++ b/crates/cli/src/demo/platform/phases.rs
@@ -3,7 +3,7 @@
 use std::sync;
 use std::time::Duration;
 
-use standin::platform::{door, instance};
+use standin::platform::{door, upstream};
 
 use crate::demo::platform::fleet;
 use crate::demo::platform::load;
@@ -96,9 +96,9 @@
         Phase::UpstreamLeaves => fleet.drain_upstream(&halls[1]),
         Phase::NewConfiguration => fleet.configure(fleet::SERVICES[1]),
         Phase::LostAnswers => {
-            fleet.misbehave(instance::Manner::Lost, LOST_EVERY);
+            fleet.misbehave(upstream::Manner::Lost, LOST_EVERY);
             tokio::time::sleep(length / 2).await;
-            fleet.misbehave(instance::Manner::Lost, usize::MAX);
+            fleet.misbehave(upstream::Manner::Lost, usize::MAX);
         }
         Phase::StoreTurnsSomeAway => {
             fleet.set_doors(door::Mode::Busy, false);
--- a/crates/cli/src/demo/platform/report.rs
+++ b/crates/cli/src/demo/platform/report.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use standin::platform::instance;
+use standin::platform::upstream;
 
 use crate::demo::platform::load;
 use crate::demo::platform::phases;
@@ -34,7 +34,7 @@
 impl Report {
     /// Counts.
     #[must_use]
-    pub fn new(results: &[phases::Result], records: &[instance::Record]) -> Self {
+    pub fn new(results: &[phases::Result], records: &[upstream::Record]) -> Self {
         let mut ran: collections::HashMap<&str, u32> = collections::HashMap::new();
         for (id, times) in records.iter().flat_map(|record| &record.ran) {
             *ran.entry(id).or_default() += times;
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -62,7 +62,7 @@
     Service
 );
 name!(
-    /// An upstream: one instance of a service.
+    /// An upstream: what runs requests of a service.
     Upstream
 );
 name!(
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -2,20 +2,22 @@
 //!
 //! Nothing here performs input or output; the packages above it do.
 
+mod check_route;
+
 pub mod blocks;
 pub mod bounds;
 pub mod cap;
 pub mod change;
 pub mod check;
-mod check_route;
 pub mod clock;
+pub mod discovery;
 pub mod document;
 pub mod drain;
-pub mod endpoint;
 pub mod epoch;
 pub mod evacuation;
 pub mod fraction;
 pub mod id;
+pub mod load;
 pub mod place;
 pub mod refusal;
 pub mod resource;
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -39,7 +39,7 @@
     /// Path of the upstreams' health and load report.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub report: Option<String>,
-    /// The instances.
+    /// Its upstreams.
     pub upstreams: Vec<upstream::Upstream>,
 }
 
--- a/crates/model/src/upstream.rs
+++ b/crates/model/src/upstream.rs
@@ -1,5 +1,6 @@
-//! Upstreams: the instances that run a service's requests.
+//! Upstreams as operators declare them, and the key that names one in the fleet.
 
+use std::fmt;
 use std::net;
 
 use serde::{Deserialize, Serialize};
@@ -9,7 +10,7 @@
 /// Connections an upstream accepts when its declaration does not say.
 const CONNECTIONS: u32 = 400;
 
-/// One instance of a service.
+/// One upstream of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
@@ -31,3 +32,18 @@
 fn connections() -> u32 {
     CONNECTIONS
 }
+
+/// The fleet-wide key of an upstream, whose own name is unique in its service only.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Key {
+    /// The service.
+    pub service: id::Service,
+    /// The upstream.
+    pub upstream: id::Upstream,
+}
+
+impl fmt::Display for Key {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/{}", self.service, self.upstream)
+    }
+}
--- a/crates/node/src/gateway/control.rs
+++ b/crates/node/src/gateway/control.rs
@@ -44,19 +44,19 @@
     let now = Instant::now();
     let dispatcher = state.dispatcher.borrow();
     let upstreams: Vec<serde_json::Value> = dispatcher
-        .backends()
-        .map(|b| {
+        .upstreams()
+        .map(|u| {
             serde_json::json!({
-                "id": b.endpoint.id.as_str(),
-                "service": b.endpoint.service.as_str(),
-                "address": b.endpoint.address.to_string(),
-                "hall": b.endpoint.hall.as_str(),
-                "usable": b.is_usable(),
-                "cold": b.cold.is_cold(now),
-                "ejected": b.health.is_ejected(now),
-                "in_flight": b.load.in_flight(),
-                "requests": b.load.requests(now),
-                "failures": b.health.failures(now),
+                "id": u.entry.id.as_str(),
+                "service": u.entry.service.as_str(),
+                "address": u.entry.address.to_string(),
+                "hall": u.entry.hall.as_str(),
+                "usable": u.is_usable(),
+                "cold": u.cold.is_cold(now),
+                "ejected": u.health.is_ejected(now),
+                "in_flight": u.load.in_flight(),
+                "requests": u.load.requests(now),
+                "failures": u.health.failures(now),
             })
         })
         .collect();
--- a/crates/node/src/gateway/declarations.rs
+++ b/crates/node/src/gateway/declarations.rs
@@ -5,8 +5,8 @@
 use std::sync;
 use std::time::{Duration, SystemTime};
 
+use model::discovery;
 use model::drain;
-use model::endpoint;
 use model::id;
 use model::routing;
 use model::snapshot;
@@ -85,7 +85,7 @@
         source: state::Source::Declarations,
         revision: snapshot.revision.0,
         routing: Some(sync::Arc::new(routing(snapshot))),
-        endpoints: Some(endpoints(snapshot, &active)),
+        upstreams: Some(upstreams(snapshot, &active)),
         evacuated: Some(halls),
     });
 }
@@ -108,13 +108,13 @@
 }
 
 /// Returns the declared upstreams; those of an active drain take no more work.
-fn endpoints(
+fn upstreams(
     snapshot: &snapshot::Snapshot,
     active: &[&drain::Drain],
-) -> Vec<sync::Arc<endpoint::Endpoint>> {
+) -> Vec<sync::Arc<discovery::Entry>> {
     let services = snapshot.services.values().map(|stored| &*stored.spec);
-    let upstreams = services.flat_map(|s| s.upstreams.iter().map(|u| (&s.name, u)));
-    let endpoint = |(service, upstream): (&id::Service, &upstream::Upstream)| endpoint::Endpoint {
+    let declared = services.flat_map(|s| s.upstreams.iter().map(|u| (&s.name, u)));
+    let entry = |(service, upstream): (&id::Service, &upstream::Upstream)| discovery::Entry {
         // An upstream's own name is unique in its service only.
         id: id::Upstream::new(&format!("{service}/{}", upstream.name)),
         service: service.clone(),
@@ -122,10 +122,10 @@
         hall: upstream.hall.clone(),
         slots: upstream.slots,
         state: match active.iter().any(|drain| drain.target.holds(upstream)) {
-            true => endpoint::State::Draining,
-            false => endpoint::State::Ready,
+            true => discovery::State::Draining,
+            false => discovery::State::Ready,
         },
         cold_left: Duration::ZERO,
     };
-    upstreams.map(endpoint).map(sync::Arc::new).collect()
+    declared.map(entry).map(sync::Arc::new).collect()
 }
--- a/crates/node/src/gateway/dialect.rs
+++ b/crates/node/src/gateway/dialect.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
-use model::endpoint;
 use model::id;
+use model::load;
 use model::routing;
 use platform::headers;
 
@@ -153,7 +153,7 @@
 
     /// Returns the load that an answer tells.
     #[must_use]
-    pub fn load(self, headers: &HeaderMap) -> Option<endpoint::Load> {
+    pub fn load(self, headers: &HeaderMap) -> Option<load::Report> {
         let name = match self {
             Self::Platform => headers::LOAD,
             Self::Own => OWN_LOAD,
--- a/crates/node/src/gateway/proxy/attempt.rs
+++ b/crates/node/src/gateway/proxy/attempt.rs
@@ -4,7 +4,8 @@
 use std::sync;
 use std::time::Instant;
 
-use model::endpoint;
+use model::discovery;
+use model::load;
 use steer::dispatch::outcome;
 
 use crate::gateway::state;
@@ -14,7 +15,7 @@
 pub struct Attempt {
     state: rc::Rc<state::State>,
     /// The upstream.
-    pub endpoint: sync::Arc<endpoint::Endpoint>,
+    pub upstream: sync::Arc<discovery::Entry>,
     began: Instant,
     crowding: f64,
     deadline: Instant,
@@ -26,16 +27,16 @@
     #[must_use]
     pub fn start(
         state: &rc::Rc<state::State>,
-        endpoint: sync::Arc<endpoint::Endpoint>,
+        upstream: sync::Arc<discovery::Entry>,
         is_first: bool,
         deadline: Instant,
     ) -> Self {
         let now = Instant::now();
-        let crowding = state.dispatcher.borrow_mut().sent(&endpoint.id, is_first, now);
+        let crowding = state.dispatcher.borrow_mut().sent(&upstream.id, is_first, now);
         state.metrics.tries.add(1);
         Self {
             state: rc::Rc::clone(state),
-            endpoint,
+            upstream,
             began: now,
             crowding,
             deadline,
@@ -44,7 +45,7 @@
     }
 
     /// Ends the try with a whole answer.
-    pub fn answered(self, load: Option<endpoint::Load>) {
+    pub fn answered(self, load: Option<load::Report>) {
         let latency = self.began.elapsed();
         let crowding = self.crowding;
         self.end(outcome::Outcome::Answered { latency, crowding, load });
@@ -61,7 +62,7 @@
         }
         let now = Instant::now();
         let waited = now.saturating_duration_since(self.began);
-        self.state.dispatcher.borrow_mut().ended(&self.endpoint.id, outcome, waited, now);
+        self.state.dispatcher.borrow_mut().ended(&self.upstream.id, outcome, waited, now);
     }
 }
 
--- a/crates/node/src/gateway/proxy/exchange.rs
+++ b/crates/node/src/gateway/proxy/exchange.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, Request, Response, header};
 use http_body_util::BodyExt as _;
 use hyper::body::Incoming;
-use model::endpoint;
+use model::load;
 use model::routing;
 
 use crate::common::body;
@@ -50,7 +50,7 @@
     /// What the upstream execution of the request.
     pub execution: dialect::Execution,
     /// Load it told.
-    pub load: Option<endpoint::Load>,
+    pub load: Option<load::Report>,
 }
 
 /// Sends a request on `connection` and reads the answer.
--- a/crates/node/src/gateway/proxy/tries.rs
+++ b/crates/node/src/gateway/proxy/tries.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use http::{Response, StatusCode};
-use model::endpoint;
+use model::discovery;
 use model::id;
 use model::route;
 use model::routing;
@@ -112,16 +112,16 @@
     /// Fails when nothing more may be done.
     pub async fn run(&mut self) -> Result<Response<body::Body>, answer::Reason> {
         loop {
-            let endpoint = self.choose()?;
+            let upstream = self.choose()?;
             let attempt = attempt::Attempt::start(
                 &self.server.state,
-                sync::Arc::clone(&endpoint),
+                sync::Arc::clone(&upstream),
                 self.upstreams.is_empty(),
                 self.deadline,
             );
-            self.upstreams.push(endpoint.id.clone());
+            self.upstreams.push(upstream.id.clone());
             self.is_trying = true;
-            let sent = self.send(&endpoint).await;
+            let sent = self.send(&upstream).await;
             self.is_trying = false;
             match sent {
                 Ok((connection, answer)) => {
@@ -131,7 +131,7 @@
                 }
                 Err(exchange::Failure::NotSent(cause)) => {
                     attempt.end(outcome::Outcome::NotSent);
-                    self.note(&endpoint.id, &cause);
+                    self.note(&upstream.id, &cause);
                     self.unreachable += 1;
                     if self.unreachable >= MOST_UNREACHABLE {
                         return Err(self.given_up("unreachable", COME_BACK));
@@ -139,7 +139,7 @@
                 }
                 Err(exchange::Failure::Broken(cause)) => {
                     attempt.end(outcome::Outcome::Broken);
-                    self.note(&endpoint.id, &cause);
+                    self.note(&upstream.id, &cause);
                     self.server.state.metrics.broken.add(1);
                     self.may_have_run = true;
                     if !self.route.repetition.is_repeatable() || !self.may_go_on() {
@@ -150,7 +150,7 @@
         }
     }
 
-    fn choose(&mut self) -> Result<sync::Arc<endpoint::Endpoint>, answer::Reason> {
+    fn choose(&mut self) -> Result<sync::Arc<discovery::Entry>, answer::Reason> {
         let now = Instant::now();
         let ask = ask::Ask {
             route: self.route,
@@ -173,13 +173,13 @@
     /// Sends the request on a resting connection, or on a new one.
     async fn send(
         &mut self,
-        endpoint: &endpoint::Endpoint,
+        upstream: &discovery::Entry,
     ) -> Result<(connection::Connection, exchange::Answer), exchange::Failure> {
         loop {
-            let (mut connection, is_rested) = self.connect(endpoint).await?;
+            let (mut connection, is_rested) = self.connect(upstream).await?;
             let left = self.deadline.saturating_duration_since(Instant::now());
             let body = self.body.take();
-            let request = self.head.to_upstream(&endpoint.id, left, body);
+            let request = self.head.to_upstream(&upstream.id, left, body);
             self.is_in_flight = true;
             let answer = exchange::run(
                 &mut connection,
@@ -209,13 +209,13 @@
 
     async fn connect(
         &self,
-        endpoint: &endpoint::Endpoint,
+        upstream: &discovery::Entry,
     ) -> Result<(connection::Connection, bool), exchange::Failure> {
-        if let Some(connection) = self.server.pool.take(&endpoint.id) {
+        if let Some(connection) = self.server.pool.take(&upstream.id) {
             return Ok((connection, true));
         }
         self.server.state.metrics.connections.add(1);
-        match connection::Connection::open(endpoint.address).await {
+        match connection::Connection::open(upstream.address).await {
             Ok(connection) => Ok((connection, false)),
             Err(error) => Err(exchange::Failure::NotSent(error.to_string())),
         }
@@ -228,7 +228,7 @@
         connection: connection::Connection,
         answer: exchange::Answer,
     ) -> Result<Option<Response<body::Body>>, answer::Reason> {
-        let upstream = attempt.endpoint.id.clone();
+        let upstream = attempt.upstream.id.clone();
         let status = answer.head.status();
         let is_final =
             answer.execution == dialect::Execution::Ran || status == StatusCode::BAD_REQUEST;
@@ -260,7 +260,7 @@
     ) -> Response<body::Body> {
         let body = match answer.bytes {
             exchange::Payload::Whole(bytes) => {
-                let upstream = attempt.endpoint.id.clone();
+                let upstream = attempt.upstream.id.clone();
                 attempt.answered(answer.load);
                 self.server.pool.put(&upstream, connection);
                 body::full(bytes)
--- a/crates/node/src/gateway/replica.rs
+++ b/crates/node/src/gateway/replica.rs
@@ -5,7 +5,7 @@
 use std::collections;
 use std::sync;
 
-use model::endpoint;
+use model::discovery;
 use model::id;
 use model::routing;
 use platform::fact;
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 enum Known {
     Evacuated(id::Hall),
-    Endpoint(sync::Arc<endpoint::Endpoint>),
+    Upstream(sync::Arc<discovery::Entry>),
     Node,
     Nothing,
 }
@@ -54,8 +54,8 @@
 /// What a merge changed.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
-    /// Whether endpoints came, went or changed.
-    pub endpoints: bool,
+    /// Whether upstreams came, went or changed.
+    pub upstreams: bool,
     /// Whether evacuations came or went.
     pub evacuations: bool,
     /// Whether other nodes' entries came or went.
@@ -96,10 +96,10 @@
         self.routing.as_ref()
     }
 
-    /// Returns all endpoints.
-    pub fn endpoints(&self) -> impl Iterator<Item = &sync::Arc<endpoint::Endpoint>> {
+    /// Returns all upstreams.
+    pub fn upstreams(&self) -> impl Iterator<Item = &sync::Arc<discovery::Entry>> {
         self.entries.values().filter_map(|entry| match &entry.fact {
-            Known::Endpoint(endpoint) => Some(endpoint),
+            Known::Upstream(upstream) => Some(upstream),
             _ => None,
         })
     }
@@ -224,9 +224,9 @@
                 changes.evacuations = true;
                 Known::Evacuated(hall)
             }
-            fact::Fact::Endpoint(endpoint) => {
-                changes.endpoints = true;
-                Known::Endpoint(sync::Arc::new(endpoint))
+            fact::Fact::Upstream(upstream) => {
+                changes.upstreams = true;
+                Known::Upstream(sync::Arc::new(upstream))
             }
             fact::Fact::Node(_) => {
                 changes.nodes = true;
@@ -240,7 +240,7 @@
         if let Some(entry) = self.entries.remove(key) {
             match entry.fact {
                 Known::Evacuated(_) => changes.evacuations = true,
-                Known::Endpoint(_) => changes.endpoints = true,
+                Known::Upstream(_) => changes.upstreams = true,
                 Known::Node => changes.nodes = true,
                 Known::Nothing => {}
             }
--- a/crates/node/src/gateway/state.rs
+++ b/crates/node/src/gateway/state.rs
@@ -6,7 +6,7 @@
 use std::sync;
 use std::time::Instant;
 
-use model::endpoint;
+use model::discovery;
 use model::id;
 use model::routing;
 use rand::RngExt as _;
@@ -63,7 +63,7 @@
     /// The configuration, if it changed.
     pub routing: Option<sync::Arc<routing::Routing>>,
     /// All upstreams, if any changed.
-    pub endpoints: Option<Vec<sync::Arc<endpoint::Endpoint>>>,
+    pub upstreams: Option<Vec<sync::Arc<discovery::Entry>>>,
     /// All evacuated halls, if any changed.
     pub evacuated: Option<collections::BTreeSet<id::Hall>>,
 }
@@ -178,7 +178,7 @@
             source,
             revision: replica.at(),
             routing: replica.routing().filter(|_| changes.routing).cloned(),
-            endpoints: changes.endpoints.then(|| replica.endpoints().cloned().collect()),
+            upstreams: changes.upstreams.then(|| replica.upstreams().cloned().collect()),
             evacuated: changes.evacuations.then(|| replica.evacuated().cloned().collect()),
         };
         let is_ahead = replica.at() > self.me.borrow().at;
@@ -206,7 +206,7 @@
     /// Takes news into force; what equals what is in force changes nothing.
     pub fn adopt(&self, news: News) {
         let now = Instant::now();
-        let News { source, revision, routing, endpoints, evacuated } = news;
+        let News { source, revision, routing, upstreams, evacuated } = news;
         let source = source.as_str();
         let is_newer = |r: &routing::Routing| {
             self.routing.borrow().as_ref().is_none_or(|known| known.version < r.version)
@@ -218,10 +218,10 @@
             dispatcher.configure(sync::Arc::clone(&routing));
             *self.routing.borrow_mut() = Some(routing);
         }
-        if let Some(endpoints) = endpoints.filter(|e| dispatcher.differs(e)) {
-            log::info!(endpoints = endpoints.len(), revision, source; "endpoints-changed");
+        if let Some(upstreams) = upstreams.filter(|e| dispatcher.differs(e)) {
+            log::info!(endpoints = upstreams.len(), revision, source; "endpoints-changed");
             let lapsed_before = dispatcher.lapsed();
-            dispatcher.set_endpoints(endpoints.into_iter(), now);
+            dispatcher.set_upstreams(upstreams.into_iter(), now);
             let lapsed = dispatcher.lapsed();
             if lapsed > lapsed_before {
                 log::warn!(lapsed, revision, source; "endpoints-lapsed");
--- a/crates/node/src/owner/operators/dump.rs
+++ b/crates/node/src/owner/operators/dump.rs
@@ -206,20 +206,18 @@
 
 fn upstreams(core: &steer::ownership::core::Core, now: Instant) -> Vec<Upstream> {
     let upstream =
-        |(key, u): (&steer::ownership::instance::Key, &steer::ownership::upstream::Upstream)| {
-            Upstream {
-                upstream: key.to_string(),
-                home: u.ledger.rights.home().map(ToString::to_string),
-                slots: u.ledger.slots,
-                usable: u.ledger.rights.usable,
-                borrowed: u.ledger.borrowed_slots(now),
-                lent: u.ledger.lent_slots(now),
-                limit: u.limit(now),
-                in_flight: u.ledger.in_flight(),
-                is_drained: u.is_drained,
-                is_usable: u.health.is_usable(now),
-                usual_ms: u.warmth.usual().map(|seconds| seconds * 1_000.0),
-            }
+        |(key, u): (&model::upstream::Key, &steer::ownership::owned::Upstream)| Upstream {
+            upstream: key.to_string(),
+            home: u.ledger.rights.home().map(ToString::to_string),
+            slots: u.ledger.slots,
+            usable: u.ledger.rights.usable,
+            borrowed: u.ledger.borrowed_slots(now),
+            lent: u.ledger.lent_slots(now),
+            limit: u.limit(now),
+            in_flight: u.ledger.in_flight(),
+            is_drained: u.is_drained,
+            is_usable: u.health.is_usable(now),
+            usual_ms: u.warmth.usual().map(|seconds| seconds * 1_000.0),
         };
     core.home.upstreams.iter().map(upstream).collect()
 }
--- a/crates/node/src/owner/peers/convert.rs
+++ b/crates/node/src/owner/peers/convert.rs
@@ -8,9 +8,9 @@
 use model::revision;
 use model::seat;
 use model::table;
+use model::upstream;
 use steer::common::split;
 use steer::ownership::beat;
-use steer::ownership::instance;
 use wire::peer;
 
 /// Returns a beat as its message.
@@ -183,19 +183,19 @@
 
 fn loan_out(loan: &beat::Loan) -> peer::Loan {
     peer::Loan {
-        service: text(loan.instance.service.as_str()),
-        upstream: text(loan.instance.upstream.as_str()),
+        service: text(loan.upstream.service.as_str()),
+        upstream: text(loan.upstream.upstream.as_str()),
         slots: loan.slots,
         tail_ms: millis(loan.tail),
     }
 }
 
 fn loan_in(loan: &peer::Loan) -> beat::Loan {
-    let instance = instance::Key {
+    let upstream = upstream::Key {
         service: id::Service::new(&loan.service),
         upstream: id::Upstream::new(&loan.upstream),
     };
-    beat::Loan { instance, slots: loan.slots, tail: Duration::from_millis(loan.tail_ms) }
+    beat::Loan { upstream, slots: loan.slots, tail: Duration::from_millis(loan.tail_ms) }
 }
 
 fn position_out(position: &beat::Position) -> peer::Position {
--- a/crates/node/src/owner/peers/links.rs
+++ b/crates/node/src/owner/peers/links.rs
@@ -51,7 +51,7 @@
         address: net::SocketAddr,
     ) -> Result<PeerClient<transport::Channel>, transport::Error> {
         let link = sync::Arc::clone(self.lock().entry(address).or_default());
-        let connect = || async { endpoint(address)?.connect().await };
+        let connect = || async { channel(address)?.connect().await };
         let channel = link.get_or_try_init(connect).await?;
         Ok(PeerClient::new(channel.clone()))
     }
@@ -66,9 +66,9 @@
     }
 }
 
-fn endpoint(address: net::SocketAddr) -> Result<transport::Endpoint, transport::Error> {
-    let endpoint = transport::Endpoint::from_shared(format!("http://{address}"))?;
-    Ok(endpoint
+fn channel(address: net::SocketAddr) -> Result<transport::Endpoint, transport::Error> {
+    let channel = transport::Endpoint::from_shared(format!("http://{address}"))?;
+    Ok(channel
         .connect_timeout(CONNECT_TIME)
         .http2_keep_alive_interval(PING_EVERY)
         .keep_alive_timeout(PING_TIME)
--- a/crates/node/src/owner/probes.rs
+++ b/crates/node/src/owner/probes.rs
@@ -10,8 +10,8 @@
 use hyper_util::client::legacy;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt;
+use model::upstream;
 use steer::ownership::event;
-use steer::ownership::instance;
 use steer::ownership::report;
 use tokio::sync::Semaphore;
 
@@ -39,15 +39,15 @@
     loop {
         let ranked = decisions.look(|state| ranked(state.core)).await.unwrap_or_default();
         let view = decisions.view();
-        for (instance, address) in ranked {
-            let service = view.config.snapshot.services.get(&instance.service);
+        for (upstream, address) in ranked {
+            let service = view.config.snapshot.services.get(&upstream.service);
             let Some(path) = service.and_then(|s| s.spec.report.clone()) else { continue };
             let Ok(permit) = sync::Arc::clone(&permits).acquire_owned().await else { return };
             let (http, decisions) = (http.clone(), decisions.clone());
             tokio::spawn(async move {
                 let probe = tokio::time::timeout(PROBE_TIME, probe(&http, address, &path));
                 let report = probe.await.ok().flatten();
-                let _ = decisions.tell(event::Event::Probed { instance, report });
+                let _ = decisions.tell(event::Event::Probed { upstream, report });
                 drop(permit);
             });
         }
@@ -58,10 +58,9 @@
 /// Returns the upstreams this node has a share of, the ones whose work it may have to run.
 fn ranked(
     core: &steer::ownership::core::Core,
-) -> collections::BTreeMap<instance::Key, net::SocketAddr> {
+) -> collections::BTreeMap<upstream::Key, net::SocketAddr> {
     let upstreams = core.home.upstreams.iter();
-    let home =
-        |u: &steer::ownership::upstream::Upstream| u.ledger.rights.home() == Some(&core.me.key);
+    let home = |u: &steer::ownership::owned::Upstream| u.ledger.rights.home() == Some(&core.me.key);
     let used = upstreams.filter(|(_, u)| home(u) || u.ledger.in_flight() > 0);
     used.map(|(key, u)| (key.clone(), u.address)).collect()
 }
--- a/crates/node/tests/gateway/configuration.rs
+++ b/crates/node/tests/gateway/configuration.rs
@@ -1,7 +1,7 @@
 //! Which configuration, which upstreams and which halls are in force.
 
 use platform::fact;
-use standin::platform::instance::Manner;
+use standin::platform::upstream::Manner;
 
 use crate::rig::{self, Rig, Route};
 
@@ -54,7 +54,7 @@
     let door = rig.store.open().await.expect("the store opens");
     let gateway = rig.gateway("n-1", "north-1", &door).await;
     rig.store.put(fact::CONFIG, br#"{"version":99,"routes":{"columns":["name"],"rows":[["r"]]}}"#);
-    rig.store.put(&format!("{}i-bad", fact::ENDPOINTS), b"{\"service\":7}");
+    rig.store.put(&format!("{}i-bad", fact::UPSTREAMS), b"{\"service\":7}");
     rig::until("both faults are counted", async || gateway.metric("malformed_items").await == 2)
         .await;
     // The line goes through the log's own thread and a pipe, so it may come after the count.
@@ -153,7 +153,7 @@
     let gateway = rig.gateway("n-1", "north-1", &door).await;
     let mut caller = gateway.caller().await;
     assert_eq!(caller.get("/read/a", "id-1").await.status, 200);
-    rig.store.remove_all(fact::ENDPOINTS);
+    rig.store.remove_all(fact::UPSTREAMS);
     rig::until("the gateway knows", async || {
         gateway.has_logged(&["event=endpoints-lapsed", "lapsed=3"])
     })
--- a/crates/node/tests/gateway/requests.rs
+++ b/crates/node/tests/gateway/requests.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use standin::platform::instance::{Instance, Manner};
+use standin::platform::upstream::{Manner, Upstream};
 
 use crate::client;
 use crate::rig::{self, Gateway, Rig};
 
 /// A store, upstreams of the desk and a gateway.
-async fn desk(upstreams: usize) -> (Rig, Vec<Instance>, Gateway) {
+async fn desk(upstreams: usize) -> (Rig, Vec<Upstream>, Gateway) {
     let rig = Rig::start(&rig::routes()).await;
     let mut started = Vec::new();
     for index in 0..upstreams {
@@ -19,7 +19,7 @@
     (rig, started, gateway)
 }
 
-fn ran(upstreams: &[Instance], id: &str) -> u32 {
+fn ran(upstreams: &[Upstream], id: &str) -> u32 {
     upstreams.iter().map(|u| u.record().ran.get(id).copied().unwrap_or_default()).sum()
 }
 
@@ -63,7 +63,7 @@
     let (_rig, upstreams, gateway) = desk(1).await;
     let mut caller = gateway.caller().await;
     let forged = "GET /read/a HTTP/1.1\r\nHost: site.example\r\nYokespoke-Request-Id: id-1\r\n\
-                  Yokespoke-Target-Instance: i-9\r\nConnection: yokespoke-request-id, x-own\r\n\
+                  Yokespoke-Target-Upstream: i-9\r\nConnection: yokespoke-request-id, x-own\r\n\
                   X-Own: 1\r\nX-Other: 2\r\n\r\n";
     caller.write(forged.as_bytes()).await;
     assert_eq!(caller.read().await.status, 200);
--- a/crates/node/tests/gateway/rig.rs
+++ b/crates/node/tests/gateway/rig.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use platform::fact;
-use standin::platform::{door, instance, store};
+use standin::platform::{door, store, upstream};
 
 use crate::client;
 
@@ -86,15 +86,15 @@
     }
 
     /// Starts an upstream and its entry.
-    pub async fn upstream(&self, id: &str, service: &str, hall: &str) -> instance::Instance {
-        let instance = instance::Instance::start(id).await.expect("an upstream starts");
-        self.enter(&instance, service, hall, "ready");
-        instance
+    pub async fn upstream(&self, id: &str, service: &str, hall: &str) -> upstream::Upstream {
+        let upstream = upstream::Upstream::start(id).await.expect("an upstream starts");
+        self.enter(&upstream, service, hall, "ready");
+        upstream
     }
 
     /// Writes an upstream's entry.
-    pub fn enter(&self, instance: &instance::Instance, service: &str, hall: &str, state: &str) {
-        self.enter_at(&instance.id, instance.address, service, hall, state);
+    pub fn enter(&self, upstream: &upstream::Upstream, service: &str, hall: &str, state: &str) {
+        self.enter_at(&upstream.id, upstream.address, service, hall, state);
     }
 
     /// Writes the entry of an upstream that is reached at `address`.
@@ -116,7 +116,7 @@
             "cold_left": "0ms",
             "call_seq": 1,
         });
-        let key = format!("{}{}", fact::ENDPOINTS, id);
+        let key = format!("{}{}", fact::UPSTREAMS, id);
         self.store.put(&key, entry.to_string().as_bytes());
     }
 
--- a/crates/node/tests/gateway/stop.rs
+++ b/crates/node/tests/gateway/stop.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rustix::process::Signal;
-use standin::platform::instance::Manner;
+use standin::platform::upstream::Manner;
 
 use crate::client;
 use crate::rig::{self, Rig};
--- a/crates/node/tests/replica.rs
+++ b/crates/node/tests/replica.rs
@@ -29,7 +29,7 @@
 }
 
 fn names(replica: &replica::Replica) -> Vec<String> {
-    replica.endpoints().map(|e| e.id.as_str().to_owned()).collect()
+    replica.upstreams().map(|e| e.id.as_str().to_owned()).collect()
 }
 
 #[test]
@@ -38,7 +38,7 @@
     let first = vec![item("servers/a", 1, Some(&entry(1))), item("servers/b", 2, Some(&entry(2)))];
     replica.replace(page(first, 2));
     let changes = replica.replace(page(vec![item("servers/b", 2, Some(&entry(2)))], 5));
-    assert!(changes.endpoints);
+    assert!(changes.upstreams);
     assert_eq!(names(&replica), ["b"]);
 }
 
--- a/crates/node/tests/soak/fault.rs
+++ b/crates/node/tests/soak/fault.rs
@@ -4,7 +4,7 @@
 
 use rand::{RngExt as _, rngs};
 use standin::platform::door;
-use standin::platform::instance;
+use standin::platform::upstream;
 
 use crate::link;
 
@@ -34,7 +34,7 @@
     /// The store forgets its history.
     Compaction,
     /// An upstream answers so.
-    Manner(usize, instance::Manner),
+    Manner(usize, upstream::Manner),
     /// A gateway stands still.
     Pause(usize),
     /// A gateway is killed, and started again at another address.
@@ -101,7 +101,7 @@
         6 | 7 => Fault::Door(gateway, door(random)),
         8 => Fault::StoreAway(door(random)),
         9 => Fault::Compaction,
-        10..=13 => Fault::Manner(upstream, instance::Manner::Lost),
+        10..=13 => Fault::Manner(upstream, upstream::Manner::Lost),
         14 | 15 => Fault::Pause(gateway),
         16 | 17 => Fault::Kill(gateway),
         18 => Fault::Stop(gateway),
@@ -132,16 +132,16 @@
     }
 }
 
-fn manner(turn: usize, random: &mut rngs::StdRng) -> instance::Manner {
+fn manner(turn: usize, random: &mut rngs::StdRng) -> upstream::Manner {
     match turn % MANNERS {
-        0 => instance::Manner::Slow(Duration::from_millis(random.random_range(50..1_500))),
-        1 => instance::Manner::Full,
-        2 => instance::Manner::UnprovedRefusal,
-        3 => instance::Manner::Lost,
-        4 => instance::Manner::Cut,
-        5 => instance::Manner::Surplus,
-        6 => instance::Manner::Crossed,
-        7 => instance::Manner::Garbage,
-        _ => instance::Manner::Unframed,
+        0 => upstream::Manner::Slow(Duration::from_millis(random.random_range(50..1_500))),
+        1 => upstream::Manner::Full,
+        2 => upstream::Manner::UnprovedRefusal,
+        3 => upstream::Manner::Lost,
+        4 => upstream::Manner::Cut,
+        5 => upstream::Manner::Surplus,
+        6 => upstream::Manner::Crossed,
+        7 => upstream::Manner::Garbage,
+        _ => upstream::Manner::Unframed,
     }
 }
--- a/crates/node/tests/soak/oracle.rs
+++ b/crates/node/tests/soak/oracle.rs
@@ -2,7 +2,7 @@
 
 use std::collections;
 
-use standin::platform::instance;
+use standin::platform::upstream;
 
 use crate::callers;
 
@@ -18,7 +18,7 @@
 
 impl Truth {
     /// Sums the records of all upstreams up.
-    pub fn of(records: impl Iterator<Item = instance::Record>) -> Self {
+    pub fn of(records: impl Iterator<Item = upstream::Record>) -> Self {
         let mut truth = Self::default();
         for record in records {
             for (id, times) in record.ran {
--- a/crates/node/tests/soak/world.rs
+++ b/crates/node/tests/soak/world.rs
@@ -5,7 +5,7 @@
 
 use platform::fact;
 use rand::{RngExt as _, SeedableRng as _, rngs};
-use standin::platform::{door, instance};
+use standin::platform::{door, upstream};
 use tokio::time::Instant;
 
 use crate::callers;
@@ -51,7 +51,7 @@
 const MOST_MEMORY_KB: u64 = 130_000;
 
 struct Upstream {
-    instance: instance::Instance,
+    standin: upstream::Upstream,
     link: link::Link,
     service: &'static str,
     hall: &'static str,
@@ -101,7 +101,7 @@
     let mut broken = world.broken_in_calm(&calm, before);
     outcomes.extend(calm);
     outcomes.append(&mut world.settling);
-    let records = world.upstreams.iter().map(|upstream| upstream.instance.record());
+    let records = world.upstreams.iter().map(|upstream| upstream.standin.record());
     broken.extend(oracle::Truth::of(records).broken(&outcomes));
     broken.extend(world.broken_processes().await);
     assert!(broken.is_empty(), "seed {seed} broke {broken:#?}\nfaults {events:#?}");
@@ -149,10 +149,10 @@
 
     async fn add_upstream(&mut self, service: &'static str, hall: &'static str, index: usize) {
         let id = format!("{service}-{hall}-{index}");
-        let instance = instance::Instance::start(&id).await.expect("an upstream starts");
-        instance.set(instance::Manner::Slow(WORK));
-        let link = link::Link::start(instance.address).await;
-        self.upstreams.push(Upstream { instance, link, service, hall, state: "ready" });
+        let standin = upstream::Upstream::start(&id).await.expect("an upstream starts");
+        standin.set(upstream::Manner::Slow(WORK));
+        let link = link::Link::start(standin.address).await;
+        self.upstreams.push(Upstream { standin, link, service, hall, state: "ready" });
         self.enter(self.upstreams.len() - 1);
     }
 
@@ -166,8 +166,8 @@
 
     /// Writes an upstream's entry, as the upstream does about every heartbeat.
     fn enter(&self, index: usize) {
-        let Upstream { instance, link, service, hall, state } = &self.upstreams[index];
-        self.rig.enter_at(&instance.id, link.address, service, hall, state);
+        let Upstream { standin, link, service, hall, state } = &self.upstreams[index];
+        self.rig.enter_at(&standin.id, link.address, service, hall, state);
     }
 
     async fn start_process(&mut self, index: usize) {
@@ -212,7 +212,7 @@
             Fault::Door(node, mode) => self.nodes[node].door.set(mode),
             Fault::StoreAway(mode) => self.set_doors(mode),
             Fault::Compaction => self.rig.store.forget(),
-            Fault::Manner(upstream, manner) => self.upstreams[upstream].instance.set(manner),
+            Fault::Manner(upstream, manner) => self.upstreams[upstream].standin.set(manner),
             Fault::Pause(node) => self.signal(node, rustix::process::Signal::STOP),
             Fault::Reload(node) => self.signal(node, rustix::process::Signal::HUP),
             Fault::Kill(node) => self.kill(node),
@@ -231,7 +231,7 @@
             Fault::Door(node, _) => self.nodes[node].door.set(door::Mode::Open),
             Fault::StoreAway(_) => self.return_store().await,
             Fault::Manner(upstream, _) => {
-                self.upstreams[upstream].instance.set(instance::Manner::Slow(WORK));
+                self.upstreams[upstream].standin.set(upstream::Manner::Slow(WORK));
             }
             Fault::Pause(node) => self.signal(node, rustix::process::Signal::CONT),
             Fault::Kill(node) | Fault::Stop(node) => self.start_process(node).await,
@@ -248,7 +248,7 @@
 
     /// Lets the store come back without the entries, which lapsed, and upstreams write them again.
     async fn return_store(&self) {
-        self.rig.store.remove_all(fact::ENDPOINTS);
+        self.rig.store.remove_all(fact::UPSTREAMS);
         self.set_doors(door::Mode::Open);
         let half = self.upstreams.len() / 2;
         for part in [0..half, half..self.upstreams.len()] {
@@ -317,7 +317,7 @@
         }
         for upstream in 0..self.upstreams.len() {
             self.upstreams[upstream].link.set(link::Mode::Open);
-            self.upstreams[upstream].instance.set(instance::Manner::Slow(WORK));
+            self.upstreams[upstream].standin.set(upstream::Manner::Slow(WORK));
             self.set_state(upstream, "ready");
         }
         self.start_all().await;
@@ -359,13 +359,13 @@
     /// Returns the arrivals at upstreams that leave or stand in an evacuated hall.
     fn arrivals_where_none_may_come(&self) -> u32 {
         let may_not = |u: &&Upstream| u.state == "draining" || Some(u.hall) == self.evacuated;
-        self.upstreams.iter().filter(may_not).map(|u| u.instance.record().arrivals).sum()
+        self.upstreams.iter().filter(may_not).map(|u| u.standin.record().arrivals).sum()
     }
 
     /// Stops a gateway as planned while callers use their connections to it.
     async fn stop_one(&mut self) {
         for upstream in &self.upstreams {
-            upstream.instance.set(instance::Manner::Slow(LONG_WORK));
+            upstream.standin.set(upstream::Manner::Slow(LONG_WORK));
         }
         tokio::time::sleep(LONG_WORK).await;
         self.stop(0);
@@ -374,7 +374,7 @@
 
     /// Returns what was broken in the calm part.
     fn broken_in_calm(&self, calm: &[callers::Outcome], arrivals_before: u32) -> Vec<String> {
-        let records = self.upstreams.iter().map(|upstream| upstream.instance.record());
+        let records = self.upstreams.iter().map(|upstream| upstream.standin.record());
         let ran: std::collections::HashSet<String> =
             records.flat_map(|record| record.ran.into_keys()).collect();
         let mut broken = Vec::new();
--- a/crates/standin/src/platform/instance.rs
+++ b/crates/standin/src/platform/upstream.rs
@@ -46,7 +46,7 @@
 
 /// A running upstream.
 #[derive(Debug)]
-pub struct Instance {
+pub struct Upstream {
     /// Its name.
     pub id: String,
     /// Where it listens.
@@ -87,7 +87,7 @@
     body: Vec<u8>,
 }
 
-impl Instance {
+impl Upstream {
     /// Starts an upstream on a free port, inside a runtime.
     ///
     /// # Errors
--- a/crates/steer/src/dispatch/dispatcher/mod.rs
+++ b/crates/steer/src/dispatch/dispatcher/mod.rs
@@ -8,14 +8,13 @@
 use std::time::{Duration, Instant};
 
 use model::bounds;
-use model::endpoint;
+use model::discovery;
 use model::id;
 use model::route;
 use model::routing;
 
 use crate::common::ramp;
 use crate::common::split;
-use crate::dispatch::backend;
 use crate::dispatch::cold;
 use crate::dispatch::lapse;
 use crate::dispatch::outcome;
@@ -23,6 +22,7 @@
 use crate::dispatch::retries;
 use crate::dispatch::round_robin;
 use crate::dispatch::spill;
+use crate::dispatch::upstream;
 use crate::dispatch::work;
 
 /// Where a node stands.
@@ -53,7 +53,7 @@
     bounds: bounds::Bounds,
     routing: sync::Arc<routing::Routing>,
     evacuated: collections::BTreeSet<id::Hall>,
-    backends: collections::BTreeMap<id::Upstream, backend::Backend>,
+    upstreams: collections::BTreeMap<id::Upstream, upstream::Upstream>,
     services: collections::BTreeMap<id::Service, Vec<id::Upstream>>,
     work: collections::BTreeMap<id::Service, work::Work>,
     budgets: collections::BTreeMap<id::Service, retries::Budget>,
@@ -76,7 +76,7 @@
             bounds,
             routing: sync::Arc::default(),
             evacuated: collections::BTreeSet::new(),
-            backends: collections::BTreeMap::new(),
+            upstreams: collections::BTreeMap::new(),
             services: collections::BTreeMap::new(),
             work: collections::BTreeMap::new(),
             budgets: collections::BTreeMap::new(),
@@ -127,43 +127,43 @@
     /// Returns what this node has in flight.
     #[must_use]
     pub fn in_flight(&self) -> Vec<(peers::Key, u32)> {
-        let busy = self.backends.values().filter(|b| b.load.in_flight() > 0);
-        busy.map(|b| (peers::Key::of(&b.endpoint.id), b.load.in_flight())).collect()
+        let busy = self.upstreams.values().filter(|b| b.load.in_flight() > 0);
+        busy.map(|b| (peers::Key::of(&b.entry.id), b.load.in_flight())).collect()
     }
 
     fn spread_peer_load(&mut self, now: Instant) {
         let totals = self.peers.totals(now);
-        for backend in self.backends.values_mut() {
-            let key = peers::Key::of(&backend.endpoint.id);
-            backend.load.set_peers(totals.get(&key).copied().unwrap_or_default());
+        for upstream in self.upstreams.values_mut() {
+            let key = peers::Key::of(&upstream.entry.id);
+            upstream.load.set_peers(totals.get(&key).copied().unwrap_or_default());
         }
     }
 
     /// Takes what service discovery tells.
-    pub fn set_endpoints(
+    pub fn set_upstreams(
         &mut self,
-        endpoints: impl Iterator<Item = sync::Arc<endpoint::Endpoint>>,
+        entries: impl Iterator<Item = sync::Arc<discovery::Entry>>,
         now: Instant,
     ) {
-        let mut before = std::mem::take(&mut self.backends);
+        let mut before = std::mem::take(&mut self.upstreams);
         let known = before.len();
-        for endpoint in endpoints {
-            let id = endpoint.id.clone();
-            let backend = match before.remove(&id) {
-                Some(known) => renewed(known, endpoint, now),
+        for entry in entries {
+            let id = entry.id.clone();
+            let upstream = match before.remove(&id) {
+                Some(known) => renewed(known, entry, now),
                 None => {
-                    let region = self.region_of(&endpoint.hall);
-                    backend::Backend::new(endpoint, region, now)
+                    let region = self.region_of(&entry.hall);
+                    upstream::Upstream::new(entry, region, now)
                 }
             };
-            self.backends.insert(id, backend);
+            self.upstreams.insert(id, upstream);
         }
-        before.retain(|_, backend| backend.is_usable());
+        before.retain(|_, upstream| upstream.is_usable());
         let until = self.lapse.used_until(before.len(), known, &self.bounds, now);
-        for (id, mut backend) in before {
-            backend.lapsed_until = backend.lapsed_until.or(until);
-            if backend.lapsed_until.is_some() {
-                self.backends.insert(id, backend);
+        for (id, mut upstream) in before {
+            upstream.lapsed_until = upstream.lapsed_until.or(until);
+            if upstream.lapsed_until.is_some() {
+                self.upstreams.insert(id, upstream);
             }
         }
         self.list_services();
@@ -172,37 +172,37 @@
     /// Lists the upstreams of each service anew.
     fn list_services(&mut self) {
         self.services.clear();
-        for (id, backend) in &self.backends {
-            let service = backend.endpoint.service.clone();
+        for (id, upstream) in &self.upstreams {
+            let service = upstream.entry.service.clone();
             self.services.entry(service).or_default().push(id.clone());
         }
     }
 
     /// Drops upstreams whose entries lapsed and did not come back.
     fn drop_lapsed(&mut self, now: Instant) {
-        let known = self.backends.len();
-        self.backends.retain(|_, b| b.lapsed_until.is_none_or(|until| now < until));
-        if self.backends.len() < known {
+        let known = self.upstreams.len();
+        self.upstreams.retain(|_, b| b.lapsed_until.is_none_or(|until| now < until));
+        if self.upstreams.len() < known {
             self.list_services();
         }
     }
 
-    /// Returns whether `endpoints` are other than those known.
+    /// Returns whether `entries` are other than those known.
     #[must_use]
-    pub fn differs(&self, endpoints: &[sync::Arc<endpoint::Endpoint>]) -> bool {
-        let is_known = |e: &sync::Arc<endpoint::Endpoint>| {
-            self.backends
+    pub fn differs(&self, entries: &[sync::Arc<discovery::Entry>]) -> bool {
+        let is_known = |e: &sync::Arc<discovery::Entry>| {
+            self.upstreams
                 .get(&e.id)
-                .is_some_and(|known| known.endpoint == *e && known.lapsed_until.is_none())
+                .is_some_and(|known| known.entry == *e && known.lapsed_until.is_none())
         };
-        let listed = self.backends.values().filter(|b| b.lapsed_until.is_none()).count();
-        endpoints.len() != listed || !endpoints.iter().all(is_known)
+        let listed = self.upstreams.values().filter(|b| b.lapsed_until.is_none()).count();
+        entries.len() != listed || !entries.iter().all(is_known)
     }
 
     /// Returns how many upstreams are used though their entries went.
     #[must_use]
     pub fn lapsed(&self) -> usize {
-        self.backends.values().filter(|b| b.lapsed_until.is_some()).count()
+        self.upstreams.values().filter(|b| b.lapsed_until.is_some()).count()
     }
 
     /// Notes a sign that the source of entries is away, or was until now.
@@ -221,10 +221,10 @@
     /// Upstreams of a hall that is taken back count as cold, since they may be.
     pub fn set_evacuated(&mut self, halls: collections::BTreeSet<id::Hall>, now: Instant) {
         let returned: Vec<id::Hall> = self.evacuated.difference(&halls).cloned().collect();
-        for backend in self.backends.values_mut() {
-            if returned.contains(&backend.endpoint.hall) {
-                let rules = self.routing.services.get(&backend.endpoint.service);
-                backend.cold.cold_for(rules.map_or(Duration::ZERO, |r| r.cold_start), now);
+        for upstream in self.upstreams.values_mut() {
+            if returned.contains(&upstream.entry.hall) {
+                let rules = self.routing.services.get(&upstream.entry.service);
+                upstream.cold.cold_for(rules.map_or(Duration::ZERO, |r| r.cold_start), now);
             }
         }
         self.evacuated = halls;
@@ -268,15 +268,15 @@
     /// Returns how many times the work of one request passes until it is done, as far as known.
     pub fn sent(&mut self, upstream: &id::Upstream, is_first: bool, now: Instant) -> f64 {
         let allowance = self.allowance();
-        let Some(backend) = self.backends.get_mut(upstream) else { return 1.0 };
-        let crowding = backend.crowding(now);
-        backend.health.sent(backend.load.in_flight(), now);
-        backend.load.sent();
-        let service = &backend.endpoint.service;
+        let Some(upstream) = self.upstreams.get_mut(upstream) else { return 1.0 };
+        let crowding = upstream.crowding(now);
+        upstream.health.sent(upstream.load.in_flight(), now);
+        upstream.load.sent();
+        let service = &upstream.entry.service;
         if let Some(rate) = self.routing.services.get(service).and_then(|r| r.cold_rate)
-            && backend.cold.is_cold(now)
+            && upstream.cold.is_cold(now)
         {
-            backend.cold.take(rate, now);
+            upstream.cold.take(rate, now);
         }
         if is_first {
             self.budgets.entry(service.clone()).or_default().first_try(allowance, now);
@@ -292,38 +292,38 @@
         waited: Duration,
         now: Instant,
     ) {
-        let Some(backend) = self.backends.get_mut(upstream) else { return };
-        let service = self.work.entry(backend.endpoint.service.clone()).or_default();
-        backend.load.ended();
-        let in_flight = backend.load.in_flight();
+        let Some(upstream) = self.upstreams.get_mut(upstream) else { return };
+        let service = self.work.entry(upstream.entry.service.clone()).or_default();
+        upstream.load.ended();
+        let in_flight = upstream.load.in_flight();
         match outcome {
             outcome::Outcome::Answered { latency, crowding, load } => {
                 let seconds = latency.as_secs_f64() / crowding.max(1.0);
-                backend.health.answered(seconds, service.mean(), in_flight, now);
+                upstream.health.answered(seconds, service.mean(), in_flight, now);
                 service.note(seconds);
                 if let Some(load) = load {
-                    backend.load.tell(load, now);
+                    upstream.load.tell(load, now);
                 }
             }
             outcome::Outcome::TurnedAway { load } => {
-                backend.health.heard(in_flight, now);
+                upstream.health.heard(in_flight, now);
                 if let Some(load) = load {
-                    backend.load.tell(load, now);
+                    upstream.load.tell(load, now);
                 }
-                backend.load.full(backend.endpoint.slots, now);
+                upstream.load.full(upstream.entry.slots, now);
             }
-            outcome::Outcome::Replaced => backend.is_replaced = true,
-            outcome::Outcome::NotSent => backend.health.unreachable(now),
-            outcome::Outcome::Broken => backend.health.broken(now),
-            outcome::Outcome::TimedOut => backend.health.timed_out(waited, service.mean(), now),
+            outcome::Outcome::Replaced => upstream.is_replaced = true,
+            outcome::Outcome::NotSent => upstream.health.unreachable(now),
+            outcome::Outcome::Broken => upstream.health.broken(now),
+            outcome::Outcome::TimedOut => upstream.health.timed_out(waited, service.mean(), now),
             outcome::Outcome::Abandoned => {}
         }
-        backend.health.ended(in_flight);
+        upstream.health.ended(in_flight);
     }
 
-    /// Returns the backends, for a look at the state.
-    pub fn backends(&self) -> impl Iterator<Item = &backend::Backend> {
-        self.backends.values()
+    /// Returns the upstreams, for a look at the state.
+    pub fn upstreams(&self) -> impl Iterator<Item = &upstream::Upstream> {
+        self.upstreams.values()
     }
 
     /// Returns where the splits stand, for a look at the state.
@@ -333,8 +333,8 @@
 
     /// Returns whether any upstream is known.
     #[must_use]
-    pub fn has_endpoints(&self) -> bool {
-        !self.backends.is_empty()
+    pub fn has_upstreams(&self) -> bool {
+        !self.upstreams.is_empty()
     }
 
     fn region_of(&self, hall: &id::Hall) -> id::Region {
@@ -356,14 +356,14 @@
 }
 
 fn renewed(
-    mut known: backend::Backend,
-    endpoint: sync::Arc<endpoint::Endpoint>,
+    mut known: upstream::Upstream,
+    entry: sync::Arc<discovery::Entry>,
     now: Instant,
-) -> backend::Backend {
+) -> upstream::Upstream {
     known.lapsed_until = None;
-    if known.endpoint != endpoint {
-        known.cold.cold_for(endpoint.cold_left, now);
-        known.endpoint = endpoint;
+    if known.entry != entry {
+        known.cold.cold_for(entry.cold_left, now);
+        known.entry = entry;
     }
     known
 }
--- a/crates/steer/src/dispatch/dispatcher/regions.rs
+++ b/crates/steer/src/dispatch/dispatcher/regions.rs
@@ -102,11 +102,9 @@
     fn slots(&self, service: &id::Service, region: &id::Region, now: Instant) -> f64 {
         let of_service = self.services.get(service).into_iter().flatten();
         of_service
-            .filter_map(|id| self.backends.get(id))
+            .filter_map(|id| self.upstreams.get(id))
             .filter(|b| b.region == *region && self.takes_work(b))
-            .map(|b| {
-                f64::from(b.endpoint.slots) * if b.cold.is_cold(now) { COLD_SLOTS } else { 1.0 }
-            })
+            .map(|b| f64::from(b.entry.slots) * if b.cold.is_cold(now) { COLD_SLOTS } else { 1.0 })
             .sum()
     }
 }
--- a/crates/steer/src/dispatch/dispatcher/selection.rs
+++ b/crates/steer/src/dispatch/dispatcher/selection.rs
@@ -4,14 +4,14 @@
 use std::sync;
 use std::time::{Duration, Instant};
 
-use model::endpoint;
+use model::discovery;
 use model::id;
 use xxhash_rust::xxh3;
 
 use super::Dispatcher;
 use crate::dispatch::ask;
-use crate::dispatch::backend;
 use crate::dispatch::refusal;
+use crate::dispatch::upstream;
 
 /// Part of the bound that requests may use which leave a crowded region by themselves.
 const SPILL_USED: f64 = 0.3;
@@ -44,7 +44,7 @@
 /// The best upstream of a region for a request.
 #[derive(Clone, Debug)]
 struct Candidate {
-    endpoint: sync::Arc<endpoint::Endpoint>,
+    entry: sync::Arc<discovery::Entry>,
     /// Time the request would wait, in seconds.
     wait: f64,
     /// Time that upstreams of the service work on a request, in seconds.
@@ -66,7 +66,7 @@
 
     fn estimate(&self, left: Duration) -> refusal::Estimate {
         refusal::Estimate {
-            upstream: self.endpoint.id.clone(),
+            upstream: self.entry.id.clone(),
             wait: Duration::from_secs_f64(self.wait),
             expected: Duration::from_secs_f64(self.expected),
             left,
@@ -85,7 +85,7 @@
         &mut self,
         ask: &ask::Ask<'_>,
         now: Instant,
-    ) -> Result<sync::Arc<endpoint::Endpoint>, refusal::Refusal> {
+    ) -> Result<sync::Arc<discovery::Entry>, refusal::Refusal> {
         if ask.tried.is_empty() {
             self.spill.earn(self.bounds.greatest_shift * SPILL_USED);
         }
@@ -104,22 +104,22 @@
             let estimate = chosen.estimate(ask.left);
             return Err(refusal::Refusal::Overloaded { retry_after, estimate });
         }
-        Ok(sync::Arc::clone(&chosen.endpoint))
+        Ok(sync::Arc::clone(&chosen.entry))
     }
 
     /// Counts the upstreams of the service by why they may not take the request.
     fn census(&self, ask: &ask::Ask<'_>, now: Instant) -> refusal::Census {
         let ids = self.services.get(ask.service).into_iter().flatten();
         let mut census = refusal::Census::default();
-        for backend in ids.filter_map(|id| self.backends.get(id)) {
+        for upstream in ids.filter_map(|id| self.upstreams.get(id)) {
             census.known += 1;
             let homes = &ask.route.home_regions;
             match () {
-                () if !homes.is_empty() && !homes.contains(&backend.region) => census.outside += 1,
-                () if !backend.is_usable() => census.leaving += 1,
-                () if !self.takes_work(backend) => census.evacuated += 1,
-                () if ask.tried.contains(&backend.endpoint.id) => census.tried += 1,
-                () if !self.may_warm(backend, now) => census.cold += 1,
+                () if !homes.is_empty() && !homes.contains(&upstream.region) => census.outside += 1,
+                () if !upstream.is_usable() => census.leaving += 1,
+                () if !self.takes_work(upstream) => census.evacuated += 1,
+                () if ask.tried.contains(&upstream.entry.id) => census.tried += 1,
+                () if !self.may_warm(upstream, now) => census.cold += 1,
                 () => {}
             }
         }
@@ -145,47 +145,47 @@
         (is_worth && self.spill.take()).then_some(best)
     }
 
-    pub(super) fn takes_work(&self, backend: &backend::Backend) -> bool {
-        backend.is_usable() && !self.evacuated.contains(&backend.endpoint.hall)
+    pub(super) fn takes_work(&self, upstream: &upstream::Upstream) -> bool {
+        upstream.is_usable() && !self.evacuated.contains(&upstream.entry.hall)
     }
 
     /// Returns whether a cold upstream may get one more request, from this node.
-    fn may_warm(&self, backend: &backend::Backend, now: Instant) -> bool {
-        let rules = self.routing.services.get(&backend.endpoint.service);
+    fn may_warm(&self, upstream: &upstream::Upstream, now: Instant) -> bool {
+        let rules = self.routing.services.get(&upstream.entry.service);
         let Some(rate) = rules.and_then(|r| r.cold_rate) else { return true };
-        if !backend.cold.is_cold(now) {
+        if !upstream.cold.is_cold(now) {
             return true;
         }
         let own = &self.position.region;
-        let owner = self.owners.of(&backend.endpoint.id, &backend.region, own);
-        owner == Some(&self.position.node) && backend.cold.has_room(rate, now)
+        let owner = self.owners.of(&upstream.entry.id, &upstream.region, own);
+        owner == Some(&self.position.node) && upstream.cold.has_room(rate, now)
     }
 
     /// Returns the best upstream of a region.
     fn best_in(&self, region: &id::Region, ask: &ask::Ask<'_>, now: Instant) -> Option<Candidate> {
         let work = self.work.get(ask.service).copied().unwrap_or_default();
         let ids = self.services.get(ask.service)?;
-        let mut candidates: Vec<(u64, &backend::Backend)> = ids
+        let mut candidates: Vec<(u64, &upstream::Upstream)> = ids
             .iter()
             .filter(|id| !ask.tried.contains(id))
-            .filter_map(|id| self.backends.get(id))
+            .filter_map(|id| self.upstreams.get(id))
             .filter(|b| b.region == *region && self.takes_work(b) && self.may_warm(b, now))
-            .map(|b| (affinity(ask.key, &b.endpoint.id), b))
+            .map(|b| (affinity(ask.key, &b.entry.id), b))
             .collect();
         candidates.sort_by_key(|(hash, _)| cmp::Reverse(*hash));
-        let is_sound = |b: &backend::Backend| {
+        let is_sound = |b: &upstream::Upstream| {
             !b.health.is_ejected(now) && !b.health.is_silent(work.mean(), now)
         };
         if candidates.iter().any(|(_, b)| is_sound(b)) {
             candidates.retain(|(_, b)| is_sound(b));
         }
-        let mut best: Option<(&backend::Backend, f64)> = None;
-        for (rank, (_, backend)) in candidates.iter().enumerate() {
-            let cost = backend.expected(work.mean(), now)
+        let mut best: Option<(&upstream::Upstream, f64)> = None;
+        for (rank, (_, upstream)) in candidates.iter().enumerate() {
+            let cost = upstream.expected(work.mean(), now)
                 * affinity_cost(ask.route.is_sticky, rank)
-                * (1.0 + backend.health.failures(now) * FAILURE_COST);
+                * (1.0 + upstream.health.failures(now) * FAILURE_COST);
             if best.is_none_or(|(_, least)| cost < least) {
-                best = Some((backend, cost));
+                best = Some((upstream, cost));
             }
         }
         let longest = longest_wait(work.mean(), ask);
@@ -194,12 +194,12 @@
             let idle = candidates.iter().take(2).find(|(_, b)| b.wait(work.mean(), now) <= 0.0);
             best = idle.map(|(_, b)| (*b, 0.0)).or(best);
         }
-        best.map(|(backend, _)| {
-            let wait = backend.wait(work.mean(), now);
-            let endpoint = sync::Arc::clone(&backend.endpoint);
-            let load_age = backend.load.age(now);
+        best.map(|(upstream, _)| {
+            let wait = upstream.wait(work.mean(), now);
+            let entry = sync::Arc::clone(&upstream.entry);
+            let load_age = upstream.load.age(now);
             let expected = wait + work.careful();
-            Candidate { endpoint, wait, work: work.mean(), expected, load_age }
+            Candidate { entry, wait, work: work.mean(), expected, load_age }
         })
     }
 }
--- a/crates/steer/src/dispatch/load.rs
+++ b/crates/steer/src/dispatch/load.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use model::endpoint;
+use model::load;
 
 /// Time in which what an answer told of others' requests loses most of its worth.
 const MEMORY: Duration = Duration::from_millis(400);
@@ -46,7 +46,7 @@
     }
 
     /// Notes what an answer told; the request it answers has ended already.
-    pub fn tell(&mut self, load: endpoint::Load, now: Instant) {
+    pub fn tell(&mut self, load: load::Report, now: Instant) {
         let all = f64::from(load.running + load.waiting);
         self.others = (all - f64::from(self.in_flight)).max(0.0);
         self.told = now;
--- a/crates/steer/src/dispatch/mod.rs
+++ b/crates/steer/src/dispatch/mod.rs
@@ -1,11 +1,10 @@
 //! Dispatch: which upstream takes a request that an entry node sends by itself.
 //!
-//! Each node decides alone, from the endpoints that service discovery tells, the load that answers
+//! Each node decides alone, from the entries that service discovery tells, the load that answers
 //! tell, and what it has in flight itself. Requests about one object meet the same upstream as long
 //! as that is not overloaded.
 
 pub mod ask;
-pub mod backend;
 pub mod cold;
 pub mod dispatcher;
 pub mod health;
@@ -18,4 +17,5 @@
 pub mod round_robin;
 pub mod shares;
 pub mod spill;
+pub mod upstream;
 pub mod work;
--- a/crates/steer/src/dispatch/outcome.rs
+++ b/crates/steer/src/dispatch/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use model::endpoint;
+use model::load;
 
 /// How a try at an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -14,12 +14,12 @@
         /// How many times the work of one request passed until it was done, as far as known.
         crowding: f64,
         /// Load it told.
-        load: Option<endpoint::Load>,
+        load: Option<load::Report>,
     },
     /// It turned the request away without running it.
     TurnedAway {
         /// Load it told.
-        load: Option<endpoint::Load>,
+        load: Option<load::Report>,
     },
     /// Another upstream has its address.
     Replaced,
--- a/crates/steer/src/dispatch/backend.rs
+++ b/crates/steer/src/dispatch/upstream.rs
@@ -1,20 +1,20 @@
-//! Backends: endpoints with what this node knows of them.
+//! Upstreams: entries with what this node knows of them.
 
 use std::sync;
 use std::time::Instant;
 
-use model::endpoint;
+use model::discovery;
 use model::id;
 
 use crate::dispatch::cold;
 use crate::dispatch::health;
 use crate::dispatch::load;
 
-/// An endpoint with what this node knows of it.
+/// An entry with what this node knows of it.
 #[derive(Clone, Debug)]
-pub struct Backend {
-    /// The endpoint as service discovery tells it.
-    pub endpoint: sync::Arc<endpoint::Endpoint>,
+pub struct Upstream {
+    /// The entry as service discovery tells it.
+    pub entry: sync::Arc<discovery::Entry>,
     /// Its region.
     pub region: id::Region,
     /// Its load.
@@ -23,20 +23,20 @@
     pub health: health::Health,
     /// What it may be sent while it is cold.
     pub cold: cold::Limiter,
-    /// Whether another endpoint answered at its address.
+    /// Whether another entry answered at its address.
     pub is_replaced: bool,
     /// Until when it is used though its entry went, since that may only have lapsed.
     pub lapsed_until: Option<Instant>,
 }
 
-impl Backend {
-    /// Makes a backend of a newly told endpoint.
+impl Upstream {
+    /// Makes a upstream of a newly told entry.
     #[must_use]
-    pub fn new(endpoint: sync::Arc<endpoint::Endpoint>, region: id::Region, now: Instant) -> Self {
+    pub fn new(entry: sync::Arc<discovery::Entry>, region: id::Region, now: Instant) -> Self {
         let mut cold = cold::Limiter::new(now);
-        cold.cold_for(endpoint.cold_left, now);
+        cold.cold_for(entry.cold_left, now);
         Self {
-            endpoint,
+            entry,
             region,
             load: load::Load::new(now),
             health: health::Health::new(now),
@@ -49,13 +49,13 @@
     /// Returns whether it takes new work at all, wherever its hall stands.
     #[must_use]
     pub fn is_usable(&self) -> bool {
-        self.endpoint.state == endpoint::State::Ready && !self.is_replaced
+        self.entry.state == discovery::State::Ready && !self.is_replaced
     }
 
     /// Returns how many times the work of one request passes until one more would be done.
     #[must_use]
     pub fn crowding(&self, now: Instant) -> f64 {
-        let slots = f64::from(self.endpoint.slots);
+        let slots = f64::from(self.entry.slots);
         ((self.load.requests(now) + 1.0) / slots).max(1.0)
     }
 
--- a/crates/steer/src/ownership/beat.rs
+++ b/crates/steer/src/ownership/beat.rs
@@ -12,7 +12,7 @@
 use model::table;
 
 use crate::common::split;
-use crate::ownership::instance;
+use model::upstream;
 
 /// One node as it describes itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loan {
     /// The upstream.
-    pub instance: instance::Key,
+    pub upstream: upstream::Key,
     /// The slots.
     pub slots: u32,
     /// Time after the loan's term in which work on it must end: its service's deadline.
--- a/crates/steer/src/ownership/core.rs
+++ b/crates/steer/src/ownership/core.rs
@@ -117,8 +117,8 @@
             event::Event::Offer { offer } => self.home.offer(offer, now, out),
             event::Event::Done { request, outcome } => self.home.done(request, outcome, now, out),
             event::Event::Withdraw { request } => self.home.withdraw(request, now, out),
-            event::Event::Probed { instance, report } => {
-                self.home.probed(&instance, report.as_ref());
+            event::Event::Probed { upstream, report } => {
+                self.home.probed(&upstream, report.as_ref());
             }
             event::Event::Beat { beat } => {
                 let reply = Box::new(self.answer(&beat, now, out));
--- a/crates/steer/src/ownership/event.rs
+++ b/crates/steer/src/ownership/event.rs
@@ -10,10 +10,10 @@
 use model::verdict;
 
 use crate::ownership::beat;
-use crate::ownership::instance;
 use crate::ownership::report;
 use crate::ownership::request;
 use crate::ownership::vms;
+use model::upstream;
 
 /// Something that happened.
 #[derive(Clone, Debug)]
@@ -89,7 +89,7 @@
     /// An upstream was probed.
     Probed {
         /// The upstream.
-        instance: instance::Key,
+        upstream: upstream::Key,
         /// What it said; none when it did not answer.
         report: Option<report::Report>,
     },
--- a/crates/steer/src/ownership/home.rs
+++ b/crates/steer/src/ownership/home.rs
@@ -13,17 +13,17 @@
 use crate::ownership::action;
 use crate::ownership::beat;
 use crate::ownership::health;
-use crate::ownership::instance;
 use crate::ownership::ledger;
 use crate::ownership::loan;
+use crate::ownership::owned;
 use crate::ownership::queue;
 use crate::ownership::rates;
 use crate::ownership::report;
 use crate::ownership::request;
 use crate::ownership::rights;
-use crate::ownership::upstream;
 use crate::ownership::vms;
 use crate::ownership::warmth;
+use model::upstream;
 
 /// Time for which a slot stays taken after its request was abandoned, so that the upstream has
 /// noticed the closed connection.
@@ -48,7 +48,7 @@
 #[derive(Debug, Default)]
 pub struct Home {
     /// The upstreams of this region.
-    pub upstreams: collections::BTreeMap<instance::Key, upstream::Upstream>,
+    pub upstreams: collections::BTreeMap<upstream::Key, owned::Upstream>,
     services: collections::BTreeMap<id::Service, Served>,
     running: collections::HashMap<request::Id, Running>,
 }
@@ -65,7 +65,7 @@
 /// A request that holds a slot.
 #[derive(Debug)]
 struct Running {
-    instance: instance::Key,
+    key: upstream::Key,
     source: ledger::Source,
     since: Instant,
     deadline: Instant,
@@ -94,9 +94,9 @@
         me: &seat::Key,
         settled: &dyn Fn(&seat::Key) -> model::epoch::Epoch,
     ) {
-        for (instance, upstream) in &mut self.upstreams {
+        for (key, upstream) in &mut self.upstreams {
             let slots = upstream.ledger.slots;
-            upstream.ledger.rights = rights::compute(table, me, instance, slots, settled);
+            upstream.ledger.rights = rights::compute(table, me, key, slots, settled);
             if upstream.ledger.rights.home() != Some(me) {
                 upstream.ledger.end_loans();
             }
@@ -155,7 +155,7 @@
         out: &mut Vec<action::Action>,
     ) {
         let Some(running) = self.running.remove(&id) else { return };
-        let service = running.instance.service.clone();
+        let service = running.key.service.clone();
         self.settle(running, outcome, now);
         self.pump(&service, now, out);
     }
@@ -171,8 +171,8 @@
     }
 
     /// Takes in the outcome of a probe.
-    pub fn probed(&mut self, instance: &instance::Key, report: Option<&report::Report>) {
-        let Some(upstream) = self.upstreams.get_mut(instance) else { return };
+    pub fn probed(&mut self, key: &upstream::Key, report: Option<&report::Report>) {
+        let Some(upstream) = self.upstreams.get_mut(key) else { return };
         if upstream.health.probed(report) {
             upstream.warmth = warmth::Warmth::cold();
         }
@@ -229,17 +229,17 @@
     /// Lends to `home` what this node does not use of the upstreams it is home of.
     pub fn lend(&mut self, home: &seat::Key, now: Instant) -> Vec<beat::Loan> {
         let mut loans = Vec::new();
-        for (instance, upstream) in &mut self.upstreams {
+        for (key, upstream) in &mut self.upstreams {
             let led = upstream.ledger.rights.home() == Some(home);
             let ranked = upstream.ledger.rights.usable > 0;
             if !led || !ranked {
                 continue;
             }
-            let Some(served) = self.services.get(&instance.service) else { continue };
+            let Some(served) = self.services.get(&key.service) else { continue };
             let tail = served.spec.deadline + CANCEL_GRACE;
             let slots = upstream.ledger.lend(home, now, now + LOAN_TERM + tail);
             if slots > 0 {
-                loans.push(beat::Loan { instance: instance.clone(), slots, tail });
+                loans.push(beat::Loan { upstream: key.clone(), slots, tail });
             }
         }
         loans
@@ -256,7 +256,7 @@
     ) {
         for loan in loans {
             let terms = loan::Terms { term, tail: loan.tail };
-            match self.upstreams.get_mut(&loan.instance) {
+            match self.upstreams.get_mut(&loan.upstream) {
                 Some(upstream) if upstream.ledger.rights.home() == Some(me) => {
                     upstream.ledger.borrow(lender, loan.slots, asked, terms);
                 }
@@ -267,11 +267,11 @@
 
     /// Takes back from `home`, which is home no longer, all that it does not hold any more.
     pub fn take_back(&mut self, home: &seat::Key, held: &[beat::Loan]) {
-        for (instance, upstream) in &mut self.upstreams {
+        for (key, upstream) in &mut self.upstreams {
             if upstream.ledger.rights.home() == Some(home) {
                 continue;
             }
-            let slots = held.iter().find(|h| h.instance == *instance).map_or(0, |h| h.slots);
+            let slots = held.iter().find(|h| h.upstream == *key).map_or(0, |h| h.slots);
             upstream.ledger.take_back(home, slots);
         }
     }
@@ -280,15 +280,15 @@
     #[must_use]
     pub fn held(&self, me: &seat::Key, lender: &seat::Key) -> Vec<beat::Loan> {
         let mut held = Vec::new();
-        for (instance, upstream) in &self.upstreams {
+        for (key, upstream) in &self.upstreams {
             if upstream.ledger.rights.home() == Some(me) {
                 continue;
             }
             let of_lender =
                 upstream.ledger.held().find(|(key, slots)| *key == lender && *slots > 0);
             if let Some((_, slots)) = of_lender {
-                let instance = instance.clone();
-                held.push(beat::Loan { instance, slots, tail: Duration::ZERO });
+                let upstream = key.clone();
+                held.push(beat::Loan { upstream, slots, tail: Duration::ZERO });
             }
         }
         held
@@ -359,8 +359,8 @@
     fn upstreams_of<'a>(
         &'a self,
         service: &'a id::Service,
-    ) -> impl Iterator<Item = (&'a instance::Key, &'a upstream::Upstream)> + Clone {
-        let first = instance::Key { service: service.clone(), upstream: id::Upstream::new("") };
+    ) -> impl Iterator<Item = (&'a upstream::Key, &'a owned::Upstream)> + Clone {
+        let first = upstream::Key { service: service.clone(), upstream: id::Upstream::new("") };
         self.upstreams.range(first..).take_while(move |(key, _)| key.service == *service)
     }
 
@@ -374,9 +374,9 @@
         &self,
         offer: &request::Offer,
         now: Instant,
-    ) -> Option<(instance::Key, ledger::Source)> {
+    ) -> Option<(upstream::Key, ledger::Source)> {
         let usual = self.services.get(&offer.service).and_then(|s| s.usual);
-        let mut best: Option<(f64, &instance::Key, ledger::Source)> = None;
+        let mut best: Option<(f64, &upstream::Key, ledger::Source)> = None;
         for (key, upstream) in self.upstreams_of(&offer.service) {
             if offer.avoid.contains(&key.upstream) {
                 continue;
@@ -393,19 +393,19 @@
     fn start(
         &mut self,
         offer: request::Offer,
-        found: (instance::Key, ledger::Source),
+        found: (upstream::Key, ledger::Source),
         now: Instant,
         out: &mut Vec<action::Action>,
     ) {
-        let (instance, source) = found;
-        let Some(upstream) = self.upstreams.get_mut(&instance) else { return };
+        let (key, source) = found;
+        let Some(upstream) = self.upstreams.get_mut(&key) else { return };
         upstream.ledger.start(&source);
         out.push(action::Action::Run {
             request: offer.id,
-            upstream: instance.upstream.clone(),
+            upstream: key.upstream.clone(),
             address: upstream.address,
         });
-        let running = Running { instance, source, since: now, deadline: offer.deadline };
+        let running = Running { key, source, since: now, deadline: offer.deadline };
         self.running.insert(offer.id, running);
     }
 
@@ -430,8 +430,8 @@
 
     fn settle(&mut self, running: Running, outcome: request::Outcome, now: Instant) {
         let latency = now.saturating_duration_since(running.since);
-        let Some(served) = self.services.get_mut(&running.instance.service) else { return };
-        let Some(upstream) = self.upstreams.get_mut(&running.instance) else { return };
+        let Some(served) = self.services.get_mut(&running.key.service) else { return };
+        let Some(upstream) = self.upstreams.get_mut(&running.key) else { return };
         match outcome {
             request::Outcome::Answered => {
                 upstream.ledger.finish(&running.source);
@@ -500,17 +500,17 @@
     out.push(action::Action::Refuse { request, failure });
 }
 
-fn key_of(service: &id::Service, upstream: &id::Upstream) -> instance::Key {
-    instance::Key { service: service.clone(), upstream: upstream.clone() }
+fn key_of(service: &id::Service, upstream: &id::Upstream) -> upstream::Key {
+    upstream::Key { service: service.clone(), upstream: upstream.clone() }
 }
 
 /// Makes the state of an upstream; one that was declared before this node started counts as warm.
-fn new_upstream(declared: &model::upstream::Upstream, is_warm: bool) -> upstream::Upstream {
+fn new_upstream(declared: &model::upstream::Upstream, is_warm: bool) -> owned::Upstream {
     let warmth = match is_warm {
         true => warmth::Warmth::warm(),
         false => warmth::Warmth::cold(),
     };
-    upstream::Upstream {
+    owned::Upstream {
         address: declared.address,
         hall: declared.hall.clone(),
         ledger: ledger::Ledger::new(declared.slots, rights::Rights::none()),
--- a/crates/steer/src/ownership/homes.rs
+++ b/crates/steer/src/ownership/homes.rs
@@ -8,9 +8,9 @@
 use model::service;
 use model::table;
 
-use crate::ownership::instance;
 use crate::ownership::rank;
 use crate::ownership::share;
+use model::upstream;
 
 /// A node that is home of upstreams of one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -34,9 +34,8 @@
 ) -> Vec<Home> {
     let mut weights: collections::BTreeMap<&seat::Key, u32> = collections::BTreeMap::new();
     for upstream in service.upstreams.iter().filter(|u| u.region == table.region) {
-        let instance =
-            instance::Key { service: service.name.clone(), upstream: upstream.name.clone() };
-        let ranked = rank::top(&instance, table.seats.iter().map(|s| &s.key));
+        let key = upstream::Key { service: service.name.clone(), upstream: upstream.name.clone() };
+        let ranked = rank::top(&key, table.seats.iter().map(|s| &s.key));
         let ranks = ranked.len();
         let first_alive = ranked.into_iter().enumerate().find(|(_, key)| is_alive(key));
         match first_alive {
--- a/crates/steer/src/ownership/rank.rs
+++ b/crates/steer/src/ownership/rank.rs
@@ -7,20 +7,20 @@
 use model::seat;
 use xxhash_rust::xxh3;
 
-use crate::ownership::instance;
+use model::upstream;
 
 /// Nodes that hold a share of an upstream's slots.
 pub const RANKS: usize = 3;
 
-/// Returns the nodes that hold shares of `instance`, the home first.
+/// Returns the nodes that hold shares of `upstream`, the home first.
 #[must_use]
 pub fn top<'a>(
-    instance: &instance::Key,
+    upstream: &upstream::Key,
     nodes: impl Iterator<Item = &'a seat::Key>,
 ) -> Vec<&'a seat::Key> {
     let seed = xxh3::xxh3_64_with_seed(
-        instance.upstream.as_str().as_bytes(),
-        xxh3::xxh3_64(instance.service.as_str().as_bytes()),
+        upstream.upstream.as_str().as_bytes(),
+        xxh3::xxh3_64(upstream.service.as_str().as_bytes()),
     );
     let mut best: Vec<(u64, &seat::Key)> = Vec::with_capacity(RANKS + 1);
     for key in nodes {
--- a/crates/steer/src/ownership/rights.rs
+++ b/crates/steer/src/ownership/rights.rs
@@ -16,9 +16,9 @@
 use model::seat;
 use model::table;
 
-use crate::ownership::instance;
 use crate::ownership::rank;
 use crate::ownership::share;
+use model::upstream;
 
 /// Shares of one upstream over the epochs that still count.
 #[derive(Clone, Debug)]
@@ -51,11 +51,11 @@
 pub fn compute(
     table: &table::Table,
     me: &seat::Key,
-    instance: &instance::Key,
+    upstream: &upstream::Key,
     slots: u32,
     settled: &dyn Fn(&seat::Key) -> epoch::Epoch,
 ) -> Rights {
-    let epochs = epochs(table, instance, slots);
+    let epochs = epochs(table, upstream, slots);
     let nodes = table.seats.iter().map(|s| &s.key).chain(table.departed.iter().map(|d| &d.key));
     let nodes: Vec<(&seat::Key, epoch::Epoch)> = nodes.map(|k| (k, settled(k))).collect();
     let others = nodes.iter().filter(|(key, _)| *key != me);
@@ -85,19 +85,19 @@
     }
 }
 
-fn epochs(table: &table::Table, instance: &instance::Key, slots: u32) -> Vec<Shares> {
-    let past = table.past.iter().map(|p| shares(p.epoch, p.keys.iter(), instance, slots));
-    let newest = shares(table.epoch, table.seats.iter().map(|s| &s.key), instance, slots);
+fn epochs(table: &table::Table, upstream: &upstream::Key, slots: u32) -> Vec<Shares> {
+    let past = table.past.iter().map(|p| shares(p.epoch, p.keys.iter(), upstream, slots));
+    let newest = shares(table.epoch, table.seats.iter().map(|s| &s.key), upstream, slots);
     past.chain([newest]).collect()
 }
 
 fn shares<'a>(
     epoch: epoch::Epoch,
     keys: impl Iterator<Item = &'a seat::Key>,
-    instance: &instance::Key,
+    upstream: &upstream::Key,
     slots: u32,
 ) -> Shares {
-    let ranked = rank::top(instance, keys);
+    let ranked = rank::top(upstream, keys);
     let ranks = ranked.len();
     let shares = ranked.into_iter().enumerate();
     let shares = shares.map(|(rank, key)| (key.clone(), share::of(slots, rank, ranks))).collect();
--- a/crates/steer/tests/core.rs
+++ b/crates/steer/tests/core.rs
@@ -14,11 +14,11 @@
 use model::seat::{Key, Seat};
 use model::snapshot::Snapshot;
 use model::table::Table;
+use model::upstream;
 use steer::ownership::action::Action;
 use steer::ownership::beat::Member;
 use steer::ownership::core::Core;
 use steer::ownership::event::Event;
-use steer::ownership::instance;
 use steer::ownership::report::Report;
 use steer::ownership::request::{Id, Offer, Outcome};
 use steer::ownership::vms;
@@ -113,11 +113,11 @@
     }
 
     fn report(&mut self, report: Option<Report>) {
-        let instance = instance::Key {
+        let upstream = upstream::Key {
             service: id::Service::new("search"),
             upstream: id::Upstream::new("one"),
         };
-        self.tell(Event::Probed { instance, report });
+        self.tell(Event::Probed { upstream, report });
     }
 }
 
--- a/crates/steer/tests/dispatch.rs
+++ b/crates/steer/tests/dispatch.rs
@@ -5,7 +5,7 @@
 use std::sync;
 use std::time::{Duration, Instant};
 
-use model::{bounds, endpoint, id, route, routing};
+use model::{bounds, discovery, id, route, routing};
 use quickcheck::quickcheck;
 use steer::dispatch::{
     ask, cold, dispatcher, outcome, peers, refusal, retries, round_robin, shares,
@@ -28,14 +28,14 @@
     dispatcher::Dispatcher::new(position, bounds::Bounds::default())
 }
 
-fn endpoint(name: &str, hall: &str) -> endpoint::Endpoint {
-    endpoint::Endpoint {
+fn entry(name: &str, hall: &str) -> discovery::Entry {
+    discovery::Entry {
         id: id::Upstream::new(name),
         service: id::Service::new("desk"),
         address: net::SocketAddr::from(([127, 0, 0, 1], 80)),
         hall: id::Hall::new(hall),
         slots: 4,
-        state: endpoint::State::Ready,
+        state: discovery::State::Ready,
         cold_left: Duration::ZERO,
     }
 }
@@ -67,8 +67,8 @@
     sync::Arc::new(routing::Routing::new(1, Vec::new(), services, routing::CallerLimits::default()))
 }
 
-fn set(dispatcher: &mut dispatcher::Dispatcher, endpoints: &[endpoint::Endpoint], now: Instant) {
-    dispatcher.set_endpoints(endpoints.iter().cloned().map(sync::Arc::new), now);
+fn set(dispatcher: &mut dispatcher::Dispatcher, entries: &[discovery::Entry], now: Instant) {
+    dispatcher.set_upstreams(entries.iter().cloned().map(sync::Arc::new), now);
 }
 
 fn choose(
@@ -76,7 +76,7 @@
     route: &route::Route,
     key: u64,
     now: Instant,
-) -> Result<sync::Arc<endpoint::Endpoint>, refusal::Refusal> {
+) -> Result<sync::Arc<discovery::Entry>, refusal::Refusal> {
     let service = id::Service::new("desk");
     let left = Duration::from_secs(2);
     dispatcher.choose(&ask::Ask { route, service: &service, key, tried: &[], left }, now)
@@ -86,9 +86,9 @@
     outcome::Outcome::Answered { latency: Duration::from_millis(100), crowding: 1.0, load: None }
 }
 
-fn many() -> Vec<endpoint::Endpoint> {
+fn many() -> Vec<discovery::Entry> {
     let halls = ["n-1", "n-2", "s-1", "s-1", "w-1", "w-1"];
-    halls.iter().enumerate().map(|(i, hall)| endpoint(&format!("i-{i}"), hall)).collect()
+    halls.iter().enumerate().map(|(i, hall)| entry(&format!("i-{i}"), hall)).collect()
 }
 
 #[test]
@@ -125,9 +125,9 @@
 fn evac_and_drain_leave_an_upstream_alone_at_once() {
     let now = Instant::now();
     let mut dispatcher = dispatcher("n");
-    let mut endpoints = many();
-    endpoints[1].state = endpoint::State::Draining;
-    set(&mut dispatcher, &endpoints, now);
+    let mut entries = many();
+    entries[1].state = discovery::State::Draining;
+    set(&mut dispatcher, &entries, now);
     dispatcher.set_evacuated([id::Hall::new("n-1")].into(), now);
     for key in 0..MANY as u64 {
         let chosen = choose(&mut dispatcher, &route(&[]), key, now).expect("two regions are left");
@@ -186,7 +186,7 @@
 fn failback_a_cold_upstream_has_one_owner_and_gets_less_than_it_bears() {
     let began = Instant::now();
     let nodes: Vec<id::Node> = (0..8).map(|n| id::Node::new(&format!("n-{n}"))).collect();
-    let mut cold = endpoint("i-0", "n-1");
+    let mut cold = entry("i-0", "n-1");
     cold.cold_left = Duration::from_secs(3);
     let mut sent = 0;
     for node in &nodes {
@@ -213,17 +213,17 @@
     let now = Instant::now();
     let mut dispatcher = dispatcher("n");
     dispatcher.configure(rules(10.0));
-    set(&mut dispatcher, &[endpoint("i-0", "n-1")], now);
+    set(&mut dispatcher, &[entry("i-0", "n-1")], now);
     dispatcher.set_evacuated([id::Hall::new("n-1")].into(), now);
     dispatcher.set_evacuated(collections::BTreeSet::new(), now);
-    assert!(dispatcher.backends().all(|b| b.cold.is_cold(now)));
+    assert!(dispatcher.upstreams().all(|b| b.cold.is_cold(now)));
 }
 
 #[test]
 fn an_upstream_that_cannot_be_reached_rests_and_is_tried_again() {
     let now = Instant::now();
     let mut dispatcher = dispatcher("n");
-    set(&mut dispatcher, &[endpoint("i-0", "n-1"), endpoint("i-1", "n-1")], now);
+    set(&mut dispatcher, &[entry("i-0", "n-1"), entry("i-1", "n-1")], now);
     let first = choose(&mut dispatcher, &route(&[]), 1, now).expect("both are idle");
     dispatcher.sent(&first.id, true, now);
     dispatcher.ended(&first.id, outcome::Outcome::NotSent, Duration::ZERO, now);
@@ -239,7 +239,7 @@
     let now = Instant::now();
     for outcome in [outcome::Outcome::Broken, outcome::Outcome::Abandoned] {
         let mut dispatcher = dispatcher("n");
-        set(&mut dispatcher, &[endpoint("i-0", "n-1"), endpoint("i-1", "n-1")], now);
+        set(&mut dispatcher, &[entry("i-0", "n-1"), entry("i-1", "n-1")], now);
         let first = choose(&mut dispatcher, &route(&[]), 1, now).expect("both are idle");
         dispatcher.sent(&first.id, true, now);
         dispatcher.ended(&first.id, outcome, Duration::ZERO, now);
@@ -254,7 +254,7 @@
 fn an_upstream_that_falls_silent_gets_no_more_while_another_answers() {
     let now = Instant::now();
     let mut dispatcher = dispatcher("n");
-    set(&mut dispatcher, &[endpoint("i-0", "n-1"), endpoint("i-1", "n-1")], now);
+    set(&mut dispatcher, &[entry("i-0", "n-1"), entry("i-1", "n-1")], now);
     let silent = choose(&mut dispatcher, &route(&[]), 1, now).expect("both are idle");
     dispatcher.sent(&silent.id, true, now);
     let later = now + Duration::from_secs(5);
@@ -266,7 +266,7 @@
 fn a_replaced_upstream_is_never_asked_again() {
     let now = Instant::now();
     let mut dispatcher = dispatcher("n");
-    let only = [endpoint("i-0", "n-1")];
+    let only = [entry("i-0", "n-1")];
     set(&mut dispatcher, &only, now);
     dispatcher.sent(&only[0].id, true, now);
     dispatcher.ended(&only[0].id, outcome::Outcome::Replaced, Duration::ZERO, now);
@@ -350,7 +350,7 @@
     dispatcher.source_disturbed(began);
     let back = began + Duration::from_secs(1);
     set(&mut dispatcher, &many()[..5], back);
-    assert_eq!(dispatcher.backends().count(), 6);
+    assert_eq!(dispatcher.upstreams().count(), 6);
     set(&mut dispatcher, &[], back);
     for key in 0..20 {
         choose(&mut dispatcher, &route(&[]), key, back).expect("they may be alive");
@@ -371,7 +371,7 @@
     assert!(dispatcher.differs(&told));
     set(&mut dispatcher, &many(), began + Duration::from_secs(1));
     dispatcher.tick(began + Duration::from_secs(4));
-    assert_eq!(dispatcher.backends().count(), 6);
+    assert_eq!(dispatcher.upstreams().count(), 6);
 }
 
 #[test]
@@ -380,22 +380,22 @@
     let mut dispatcher = dispatcher("n");
     set(&mut dispatcher, &many(), began);
     set(&mut dispatcher, &many()[..5], began);
-    assert_eq!(dispatcher.backends().count(), 5);
+    assert_eq!(dispatcher.upstreams().count(), 5);
     dispatcher.source_disturbed(began);
     set(&mut dispatcher, &many()[..4], began + Duration::from_secs(4));
-    assert_eq!(dispatcher.backends().count(), 4);
+    assert_eq!(dispatcher.upstreams().count(), 4);
 }
 
 #[test]
 fn drain_a_leaving_upstream_is_not_kept_when_its_entry_lapses() {
     let began = Instant::now();
     let mut dispatcher = dispatcher("n");
-    let mut leaving = endpoint("i-0", "n-1");
-    leaving.state = endpoint::State::Draining;
+    let mut leaving = entry("i-0", "n-1");
+    leaving.state = discovery::State::Draining;
     set(&mut dispatcher, &[leaving], began);
     dispatcher.source_disturbed(began);
     set(&mut dispatcher, &[], began);
-    assert_eq!(dispatcher.backends().count(), 0);
+    assert_eq!(dispatcher.upstreams().count(), 0);
 }
 
 #[test]
@@ -404,9 +404,9 @@
     let mut dispatcher = dispatcher("n");
     set(&mut dispatcher, &many(), began);
     set(&mut dispatcher, &[], began);
-    assert_eq!(dispatcher.backends().count(), 6);
+    assert_eq!(dispatcher.upstreams().count(), 6);
     dispatcher.tick(began + bounds::Bounds::default().drain / 2);
-    assert_eq!(dispatcher.backends().count(), 0);
+    assert_eq!(dispatcher.upstreams().count(), 0);
 }
 
 #[test]
@@ -430,10 +430,10 @@
 fn a_refusal_tells_what_decided_it() {
     let now = Instant::now();
     let mut dispatcher = dispatcher("n");
-    let mut leaving = endpoint("i-0", "n-1");
-    leaving.state = endpoint::State::Draining;
-    let far = endpoint("i-2", "s-1");
-    set(&mut dispatcher, &[leaving, endpoint("i-1", "n-2"), far], now);
+    let mut leaving = entry("i-0", "n-1");
+    leaving.state = discovery::State::Draining;
+    let far = entry("i-2", "s-1");
+    set(&mut dispatcher, &[leaving, entry("i-1", "n-2"), far], now);
     dispatcher.set_evacuated([id::Hall::new("n-2")].into(), now);
     let refused = choose(&mut dispatcher, &route(&["north"]), 1, now).expect_err("none is left");
     assert_eq!(refused.to_string(), "known=3 outside=1 leaving=1 evacuated=1 cold=0 tried=0");
@@ -468,7 +468,7 @@
 fn a_request_that_waiting_alone_would_make_late_is_refused_at_once() {
     let now = Instant::now();
     let mut dispatcher = dispatcher("n");
-    set(&mut dispatcher, &[endpoint("i-0", "n-1")], now);
+    set(&mut dispatcher, &[entry("i-0", "n-1")], now);
     let mut wanted = route(&[]);
     let mut ask_at = |requests: u32, target: Duration| {
         let load = vec![(peers::Key::of(&id::Upstream::new("i-0")), requests)];
--- a/crates/steer/tests/fleet/world.rs
+++ b/crates/steer/tests/fleet/world.rs
@@ -356,10 +356,8 @@
         self.met.note_if(!self.cuts.is_empty(), "run while links are cut");
         self.met.note_if(!self.is_store_up, "run while the store is away");
         let Some(core) = &self.nodes[number].core else { return };
-        let key = steer::ownership::instance::Key {
-            service: id::Service::new(SERVICE),
-            upstream: upstream.clone(),
-        };
+        let key =
+            model::upstream::Key { service: id::Service::new(SERVICE), upstream: upstream.clone() };
         let Some(ledger) = core.home.upstreams.get(&key).map(|u| &u.ledger) else { return };
         let in_doubt = ledger.rights.home() != Some(&core.me.key);
         let on_loan = ledger.held().any(|(_, slots)| slots > 0);
@@ -526,13 +524,13 @@
     }
 
     fn capacity(&self, number: usize, index: usize) -> u32 {
-        let key = steer::ownership::instance::Key {
+        let key = model::upstream::Key {
             service: id::Service::new(SERVICE),
             upstream: id::Upstream::new(&index.to_string()),
         };
         let core = self.nodes[number].core.as_ref();
         let upstream = core.and_then(|core| core.home.upstreams.get(&key));
-        upstream.map_or(0, |u: &steer::ownership::upstream::Upstream| {
+        upstream.map_or(0, |u: &steer::ownership::owned::Upstream| {
             let ledger: &ledger::Ledger = &u.ledger;
             ledger.capacity(self.now)
         })
