--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -242,12 +242,12 @@
     Ok(())
 }
 
-/// Waits until both nodes are seated, and, once declared, until the home has all slots.
+/// Waits until both nodes are listed, and, once declared, until the home has all slots.
 async fn wait(nodes: &[node::owner::node::Node; 2], is_declared: bool) -> anyhow::Result<()> {
     let began = Instant::now();
     loop {
         let mut slots = 0;
-        let mut seats = 0;
+        let mut listed = 0;
         for node in nodes {
             let looked = node.handle().look(|state| {
                 let core = state.core;
@@ -255,13 +255,13 @@
                 let upstreams = core.home.upstreams.values();
                 let led = upstreams.filter(|u| u.ledger.rights.home() == Some(&core.me.key));
                 let slots: u32 = led.map(|u| u.ledger.capacity(state.now)).sum();
-                (table.map_or(0, |t| t.seats.len()), slots, core.is_ready(state.now))
+                (table.map_or(0, |t| t.listed.len()), slots, core.is_ready(state.now))
             });
-            let (seated, usable, is_ready) = looked.await.unwrap_or_default();
-            seats += seated;
+            let (nodes, usable, is_ready) = looked.await.unwrap_or_default();
+            listed += nodes;
             slots += if is_ready { usable } else { 0 };
         }
-        if seats == 4 && (!is_declared || slots == 6) {
+        if listed == 4 && (!is_declared || slots == 6) {
             return Ok(());
         }
         anyhow::ensure!(began.elapsed() < START_TIME, "the nodes are not ready");
--- a/crates/bench/src/scale/fleet.rs
+++ b/crates/bench/src/scale/fleet.rs
@@ -8,10 +8,10 @@
 use model::check;
 use model::epoch;
 use model::id;
+use model::member;
 use model::place;
 use model::resource;
 use model::revision;
-use model::seat;
 use model::service;
 use model::snapshot;
 use model::table;
@@ -196,7 +196,7 @@
     let at = address(node);
     let region = region(node % regions);
     beat::Member {
-        key: seat::Key { node: id::Node::new(&format!("node-{node:03}")), incarnation: 1 },
+        key: member::Key { node: id::Node::new(&format!("node-{node:03}")), incarnation: 1 },
         hall: id::Hall::new(&format!("{region}-{}", node / regions % 4)),
         region,
         callers: at,
--- a/crates/cli/src/demo/fleet.rs
+++ b/crates/cli/src/demo/fleet.rs
@@ -57,8 +57,8 @@
 /// How far a starting fleet has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Every node has a seat and knows every other.
-    Seated,
+    /// Every node is listed and knows every other.
+    Listed,
     /// The declarations are in force.
     InForce,
     /// Every home has all slots of its upstreams.
@@ -68,7 +68,7 @@
 impl Stage {
     fn describe(self) -> &'static str {
         match self {
-            Self::Seated => "the nodes do not all know each other",
+            Self::Listed => "the nodes do not all know each other",
             Self::InForce => "the declarations are not in force everywhere",
             Self::Borrowed => "the homes do not have all their slots",
         }
@@ -96,7 +96,7 @@
         };
         let resources = fleet.start_upstreams(example).await?;
         fleet.start_nodes(example)?;
-        fleet.wait(Stage::Seated).await?;
+        fleet.wait(Stage::Listed).await?;
         fleet.declare(resources).await?;
         fleet.wait(Stage::InForce).await?;
         fleet.wait(Stage::Borrowed).await?;
@@ -236,20 +236,20 @@
 
     async fn has_reached(&self, stage: Stage) -> bool {
         match stage {
-            Stage::Seated => self.all_seated().await,
+            Stage::Listed => self.all_listed().await,
             Stage::InForce => self.all_ready(),
             Stage::Borrowed => self.all_borrowed().await,
         }
     }
 
-    /// Returns whether every node has a seat in its region's table and knows every other.
-    async fn all_seated(&self) -> bool {
+    /// Returns whether every node is listed in its region's table and knows every other.
+    async fn all_listed(&self) -> bool {
         for node in self.nodes.values() {
             let known = node.handle().look(|state| {
                 let core = state.core;
                 let table = core.tables.get(&core.me.region);
-                let seated = table.map_or(0, |t| t.seats.len());
-                (seated, core.members.alive(state.now).count())
+                let listed = table.map_or(0, |t| t.listed.len());
+                (listed, core.members.alive(state.now).count())
             });
             if known.await != Some((NODES, self.nodes.len())) {
                 return false;
--- a/crates/model/src/seat.rs
+++ b/crates/model/src/member.rs
@@ -1,4 +1,4 @@
-//! Seats: the nodes that a region's table lists.
+//! Members of a region's table: the nodes that it lists, and those that left without proof.
 
 use std::fmt;
 use std::net;
@@ -25,7 +25,7 @@
 
 /// A node that the table lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seat {
+pub struct Listed {
     /// Which incarnation of which node.
     pub key: Key,
     /// Its hall.
--- a/crates/model/src/table.rs
+++ b/crates/model/src/table.rs
@@ -4,7 +4,7 @@
 
 use crate::epoch;
 use crate::id;
-use crate::seat;
+use crate::member;
 
 /// Earlier epochs a table may carry; a join waits when there would be more.
 pub const MOST_PAST: usize = 24;
@@ -17,9 +17,10 @@
     /// Grows by one with every rewrite.
     pub epoch: epoch::Epoch,
     /// The nodes of this epoch.
-    pub seats: Vec<seat::Seat>,
+    #[serde(rename = "seats")]
+    pub listed: Vec<member::Listed>,
     /// Nodes that may still use shares of an earlier epoch.
-    pub departed: Vec<seat::Departed>,
+    pub departed: Vec<member::Departed>,
     /// Earlier epochs that some node may still act on, oldest first.
     pub past: Vec<Past>,
 }
@@ -30,7 +31,7 @@
     /// The epoch.
     pub epoch: epoch::Epoch,
     /// Its nodes.
-    pub keys: Vec<seat::Key>,
+    pub keys: Vec<member::Key>,
 }
 
 impl Table {
@@ -40,66 +41,65 @@
         Self {
             region: region.clone(),
             epoch: epoch::Epoch(0),
-            seats: Vec::new(),
+            listed: Vec::new(),
             departed: Vec::new(),
             past: Vec::new(),
         }
     }
 
-    /// Returns the seat of `key`.
+    /// Returns the entry of `key`, if this epoch lists it.
     #[must_use]
-    pub fn seat(&self, key: &seat::Key) -> Option<&seat::Seat> {
-        self.seats.iter().find(|s| s.key == *key)
-    }
-
-    /// Returns the seat of the node called `node`.
-    #[must_use]
-    pub fn seat_of(&self, node: &id::Node) -> Option<&seat::Seat> {
-        self.seats.iter().find(|s| s.key.node == *node)
+    pub fn find(&self, key: &member::Key) -> Option<&member::Listed> {
+        self.listed.iter().find(|s| s.key == *key)
     }
 
     /// Returns the lowest epoch that some node may still act on.
     #[must_use]
     pub fn lowest(&self) -> epoch::Epoch {
-        let seats = self.seats.iter().map(|s| s.settled);
+        let listed = self.listed.iter().map(|s| s.settled);
         let departed = self.departed.iter().map(|d| d.settled);
-        seats.chain(departed).min().unwrap_or(self.epoch).min(self.epoch)
+        listed.chain(departed).min().unwrap_or(self.epoch).min(self.epoch)
     }
 
     /// Returns the next table: `joins` added, `leaves` moved to the departed, `ended` forgotten.
     #[must_use]
-    pub fn next(&self, joins: &[seat::Seat], leaves: &[seat::Key], ended: &[seat::Key]) -> Self {
+    pub fn next(
+        &self,
+        joins: &[member::Listed],
+        leaves: &[member::Key],
+        ended: &[member::Key],
+    ) -> Self {
         let epoch = self.epoch.next();
         let mut next = self.clone();
         next.epoch = epoch;
-        if !self.seats.is_empty() {
-            let keys = self.seats.iter().map(|s| s.key.clone()).collect();
+        if !self.listed.is_empty() {
+            let keys = self.listed.iter().map(|s| s.key.clone()).collect();
             next.past.push(Past { epoch: self.epoch, keys });
         }
-        for seat in self.seats.iter().filter(|s| leaves.contains(&s.key)) {
-            next.departed.push(seat::Departed {
-                key: seat.key.clone(),
-                peers: seat.peers,
-                settled: seat.settled,
+        for listed in self.listed.iter().filter(|s| leaves.contains(&s.key)) {
+            next.departed.push(member::Departed {
+                key: listed.key.clone(),
+                peers: listed.peers,
+                settled: listed.settled,
                 last: self.epoch,
             });
         }
-        next.seats.retain(|s| !leaves.contains(&s.key));
+        next.listed.retain(|s| !leaves.contains(&s.key));
         next.departed.retain(|d| !ended.contains(&d.key));
         for join in joins {
-            next.seats.push(self.seat_again(join, epoch));
+            next.listed.push(self.relist(join, epoch));
             next.departed.retain(|d| d.key != join.key);
         }
-        next.seats.sort_by(|a, b| a.key.cmp(&b.key));
+        next.listed.sort_by(|a, b| a.key.cmp(&b.key));
         next.forget_past();
         next
     }
 
-    /// Seats a node; one that departed and was never proved to have ended keeps its reserved past.
-    fn seat_again(&self, join: &seat::Seat, epoch: epoch::Epoch) -> seat::Seat {
+    /// Lists a node; one that departed and was never proved to have ended keeps its reserved past.
+    fn relist(&self, join: &member::Listed, epoch: epoch::Epoch) -> member::Listed {
         let before = self.departed.iter().find(|d| d.key == join.key);
         let settled = before.map_or(epoch, |d| d.settled);
-        seat::Seat { settled, ..join.clone() }
+        member::Listed { settled, ..join.clone() }
     }
 
     /// Drops the earlier epochs that nobody may act on any more.
--- a/crates/node/src/owner/decider.rs
+++ b/crates/node/src/owner/decider.rs
@@ -256,7 +256,7 @@
         }
         if current.1 != self.logged.1 {
             let region = me.region.as_str();
-            let seats = self.core.tables.get(&me.region).map_or(0, |t| t.seats.len());
+            let seats = self.core.tables.get(&me.region).map_or(0, |t| t.listed.len());
             log::info!(
                 node = me.key.node.as_str(), region, epoch = current.1.0, seats;
                 "table-adopted"
--- a/crates/node/src/owner/decisions.rs
+++ b/crates/node/src/owner/decisions.rs
@@ -41,7 +41,7 @@
         /// The region.
         region: id::Region,
         /// The home.
-        home: model::seat::Key,
+        home: model::member::Key,
         /// Its face for peers.
         peers: std::net::SocketAddr,
         /// Whether it may wait there for a slot.
--- a/crates/node/src/owner/node.rs
+++ b/crates/node/src/owner/node.rs
@@ -7,8 +7,8 @@
 
 use model::clock;
 use model::epoch;
+use model::member;
 use model::revision;
-use model::seat;
 use steer::ownership::beat;
 use steer::ownership::core;
 use steer::ownership::event;
@@ -149,7 +149,7 @@
     // Grows with each start, so that a newer incarnation is known as such.
     let incarnation = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
     beat::Member {
-        key: seat::Key { node: settings.node.clone(), incarnation },
+        key: member::Key { node: settings.node.clone(), incarnation },
         region: settings.region.clone(),
         hall: settings.hall.clone(),
         callers: listen.callers,
--- a/crates/node/src/owner/operators/dump.rs
+++ b/crates/node/src/owner/operators/dump.rs
@@ -30,7 +30,8 @@
     /// The lowest epoch whose shares it may still use.
     pub settled: u64,
     /// Nodes of the region's table, and those whose shares are still reserved.
-    pub seats: Vec<String>,
+    #[serde(rename = "seats")]
+    pub listed: Vec<String>,
     /// Nodes that departed without proof that they ended.
     pub departed: Vec<String>,
     /// Nodes that are known.
@@ -157,7 +158,7 @@
         let me = &core.me;
         let now = state.now;
         let table = core.tables.get(&me.region);
-        let seats = table.into_iter().flat_map(|t| &t.seats).map(|s| s.key.to_string());
+        let listed = table.into_iter().flat_map(|t| &t.listed).map(|s| s.key.to_string());
         let departed = table.into_iter().flat_map(|t| &t.departed).map(|d| d.key.to_string());
         Self {
             node: me.key.to_string(),
@@ -168,7 +169,7 @@
             revision: me.revision.0,
             epoch: me.epoch.0,
             settled: me.settled.0,
-            seats: seats.collect(),
+            listed: listed.collect(),
             departed: departed.collect(),
             members: members(core, now),
             upstreams: upstreams(core, now),
--- a/crates/node/src/owner/peers/convert.rs
+++ b/crates/node/src/owner/peers/convert.rs
@@ -5,8 +5,8 @@
 
 use model::epoch;
 use model::id;
+use model::member;
 use model::revision;
-use model::seat;
 use model::table;
 use model::upstream;
 use steer::common::split;
@@ -102,7 +102,7 @@
 
 fn member_in(member: &peer::Member) -> Option<beat::Member> {
     Some(beat::Member {
-        key: seat::Key { node: id::Node::new(&member.name), incarnation: member.incarnation },
+        key: member::Key { node: id::Node::new(&member.name), incarnation: member.incarnation },
         region: id::Region::new(&member.region),
         hall: id::Hall::new(&member.hall),
         callers: member.callers.parse().ok()?,
@@ -137,7 +137,7 @@
 fn news_in(news: &peer::News) -> beat::News {
     let table = |bytes: &Vec<u8>| serde_json::from_slice(bytes).ok().map(sync::Arc::new);
     let pulse = |pulse: &peer::Pulse| beat::Pulse {
-        key: seat::Key { node: id::Node::new(&pulse.name), incarnation: pulse.incarnation },
+        key: member::Key { node: id::Node::new(&pulse.name), incarnation: pulse.incarnation },
         sequence: pulse.sequence,
     };
     beat::News {
@@ -170,7 +170,7 @@
 fn summary_in(summary: &peer::Summary) -> beat::Summary {
     let rate = |rate: &peer::Rate| (id::Place::new(&rate.place), rate.thousandths);
     beat::Summary {
-        key: seat::Key { node: id::Node::new(&summary.node), incarnation: summary.incarnation },
+        key: member::Key { node: id::Node::new(&summary.node), incarnation: summary.incarnation },
         region: id::Region::new(&summary.region),
         service: id::Service::new(&summary.service),
         sequence: summary.sequence,
--- a/crates/node/src/owner/store/keep.rs
+++ b/crates/node/src/owner/store/keep.rs
@@ -133,7 +133,7 @@
             if let Ok(edge::Put::Written(_)) =
                 self.store.put(&key, Bytes::from(bytes), version).await
             {
-                let seats = next.seats.len();
+                let seats = next.listed.len();
                 log::info!(region = self.region.as_str(), epoch = next.epoch.0, seats; "table-written");
                 self.tell_table(next);
             }
--- a/crates/node/src/owner/view.rs
+++ b/crates/node/src/owner/view.rs
@@ -8,8 +8,8 @@
 use model::blocks;
 use model::check;
 use model::id;
+use model::member;
 use model::revision;
-use model::seat;
 use model::service;
 use model::snapshot;
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub struct View {
     /// This node.
-    pub me: seat::Key,
+    pub me: member::Key,
     /// Its region.
     pub region: id::Region,
     /// Whether it may serve callers.
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Node {
     /// Which incarnation of which node.
-    pub key: seat::Key,
+    pub key: member::Key,
     /// Its face for callers.
     pub callers: net::SocketAddr,
     /// Its face for peers.
@@ -108,7 +108,7 @@
 impl View {
     /// Makes the view of a node that knows nothing yet.
     #[must_use]
-    pub fn first(me: seat::Key, region: id::Region) -> Self {
+    pub fn first(me: member::Key, region: id::Region) -> Self {
         Self {
             me,
             region,
--- a/crates/node/tests/process/failures.rs
+++ b/crates/node/tests/process/failures.rs
@@ -108,11 +108,11 @@
         let rest: Vec<&rig::Process> =
             rig.nodes.iter().filter(|(n, _)| **n != leaving).map(|(_, p)| p).collect();
         rig.wait("the homes are handed over", async |rig| {
-            let mut seats = Vec::new();
+            let mut listed = Vec::new();
             for node in &rest {
-                seats.push(rig.state(node).await["seats"].as_array().map_or(0, Vec::len));
+                listed.push(rig.state(node).await["seats"].as_array().map_or(0, Vec::len));
             }
-            seats.iter().all(|count| *count == 2)
+            listed.iter().all(|count| *count == 2)
         })
         .await;
         tokio::time::sleep(Duration::from_millis(500)).await;
@@ -164,7 +164,7 @@
         // Longer than a loan with its tail, so that others use the paused node's slots.
         tokio::time::sleep(Duration::from_secs(8)).await;
         rig.nodes[&paused].signal("CONT");
-        rig.wait("the woken node has a seat again", async |rig| rig.all_seated(3).await).await;
+        rig.wait("the woken node is listed again", async |rig| rig.all_listed(3).await).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
     })
     .await;
--- a/crates/node/tests/process/rig.rs
+++ b/crates/node/tests/process/rig.rs
@@ -93,7 +93,7 @@
                 rig.start_node(region, number, nodes);
             }
         }
-        rig.wait("all nodes are seated", async |rig| rig.all_seated(nodes).await).await;
+        rig.wait("all nodes are listed", async |rig| rig.all_listed(nodes).await).await;
         let declared = rig.declare(&rig.service()).await;
         assert_eq!(declared["state"], "accepted", "{declared}");
         rig.wait("the service is in force", async |rig| rig.in_force().await).await;
@@ -229,15 +229,15 @@
         }
     }
 
-    /// Returns whether each region's table has `nodes` seats, at every node.
-    pub async fn all_seated(&self, nodes: usize) -> bool {
+    /// Returns whether each region's table has `nodes` listed, at every node.
+    pub async fn all_listed(&self, nodes: usize) -> bool {
         for node in self.nodes.values() {
             let state = self.state(node).await;
-            let seats = state["seats"].as_array().map_or(0, Vec::len);
+            let listed = state["seats"].as_array().map_or(0, Vec::len);
             let alive = state["members"]
                 .as_array()
                 .map_or(0, |members| members.iter().filter(|m| m["is_alive"] == true).count());
-            if seats != nodes || alive != self.nodes.len() {
+            if listed != nodes || alive != self.nodes.len() {
                 return false;
             }
         }
--- a/crates/steer/src/ownership/action.rs
+++ b/crates/steer/src/ownership/action.rs
@@ -4,7 +4,7 @@
 use std::sync;
 
 use model::id;
-use model::seat;
+use model::member;
 use model::table;
 use model::verdict;
 
@@ -21,7 +21,7 @@
         /// The region its split chose.
         region: id::Region,
         /// The home; this node itself when it is one.
-        home: seat::Key,
+        home: member::Key,
         /// The home's face for peers.
         peers: net::SocketAddr,
         /// Whether the request may wait there for a slot.
--- a/crates/steer/src/ownership/beat.rs
+++ b/crates/steer/src/ownership/beat.rs
@@ -7,8 +7,8 @@
 
 use model::epoch;
 use model::id;
+use model::member;
 use model::revision;
-use model::seat;
 use model::table;
 
 use crate::common::split;
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Which incarnation of which node.
-    pub key: seat::Key,
+    pub key: member::Key,
     /// Its region.
     pub region: id::Region,
     /// Its hall.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
     /// The home; whoever summed it up, for a region.
-    pub key: seat::Key,
+    pub key: member::Key,
     /// Its region.
     pub region: id::Region,
     /// The service.
@@ -129,7 +129,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pulse {
     /// Which incarnation of which node.
-    pub key: seat::Key,
+    pub key: member::Key,
     /// Its latest beat.
     pub sequence: u64,
 }
--- a/crates/steer/src/ownership/core.rs
+++ b/crates/steer/src/ownership/core.rs
@@ -7,8 +7,8 @@
 use model::check;
 use model::epoch;
 use model::id;
+use model::member;
 use model::revision;
-use model::seat;
 use model::snapshot;
 use model::table;
 use model::verdict;
@@ -59,7 +59,7 @@
     has_positions: bool,
     has_stored_table: bool,
     is_stale: bool,
-    alive: Vec<seat::Key>,
+    alive: Vec<member::Key>,
 }
 
 impl Core {
@@ -154,8 +154,8 @@
     #[must_use]
     pub fn is_done(&self) -> bool {
         let table = self.tables.get(&self.me.region);
-        let seated = table.is_some_and(|t| t.seat(&self.me.key).is_some());
-        !seated && self.home.load() == 0 && self.router.load() == 0
+        let listed = table.is_some_and(|t| t.find(&self.me.key).is_some());
+        !listed && self.home.load() == 0 && self.router.load() == 0
     }
 
     /// Returns the nodes that hold a lower revision than this one, by name.
@@ -187,7 +187,7 @@
 
     /// Returns whether a node may be given work; this one always may.
     #[must_use]
-    pub fn is_alive(&self, key: &seat::Key, now: Instant) -> bool {
+    pub fn is_alive(&self, key: &member::Key, now: Instant) -> bool {
         *key == self.me.key || self.members.incarnation(key).is_some_and(|k| k.is_alive(now))
     }
 
@@ -279,14 +279,15 @@
 
     /// Brings homes and rights up to date when a table, a configuration or the living changed.
     fn refresh(&mut self, now: Instant) {
-        let alive: Vec<seat::Key> = self.members.alive(now).map(|k| k.member.key.clone()).collect();
+        let alive: Vec<member::Key> =
+            self.members.alive(now).map(|k| k.member.key.clone()).collect();
         let is_changed = self.is_stale || alive != self.alive;
         self.alive = alive;
         self.is_stale = false;
         if is_changed {
             let me = &self.me.key;
             let members = &self.members;
-            let is_alive = |key: &seat::Key| {
+            let is_alive = |key: &member::Key| {
                 key == me || members.incarnation(key).is_some_and(|k| k.is_alive(now))
             };
             self.router.find_homes(&self.snapshot, &self.tables, &is_alive);
@@ -297,7 +298,7 @@
     fn assign(&mut self) {
         let Some(table) = self.tables.get(&self.me.region) else { return };
         let members = &self.members;
-        let settled = |key: &seat::Key| settled(table, members, key);
+        let settled = |key: &member::Key| settled(table, members, key);
         self.home.assign(table, &self.me.key, &settled);
     }
 
@@ -491,7 +492,7 @@
 
     /// Shows what routing and planning look at.
     fn with_view<T>(&self, now: Instant, look: impl FnOnce(&router::View<'_>) -> T) -> T {
-        let is_alive = |key: &seat::Key| self.is_alive(key, now);
+        let is_alive = |key: &member::Key| self.is_alive(key, now);
         let is_lost = |region: &id::Region| self.members.is_lost(region, now);
         look(&router::View {
             snapshot: &self.snapshot,
@@ -505,10 +506,10 @@
 }
 
 /// Returns the lowest epoch that a node may still act on, by the table and by its own word.
-fn settled(table: &table::Table, members: &members::Members, key: &seat::Key) -> epoch::Epoch {
-    let seat = table.seat(key).map(|s| s.settled);
+fn settled(table: &table::Table, members: &members::Members, key: &member::Key) -> epoch::Epoch {
+    let listed = table.find(key).map(|s| s.settled);
     let departed = table.departed.iter().find(|d| d.key == *key).map(|d| d.settled);
-    let listed = seat.or(departed).unwrap_or_default();
+    let listed = listed.or(departed).unwrap_or_default();
     let said = members.incarnation(key).map(|k| k.member.settled).unwrap_or_default();
     listed.max(said)
 }
--- a/crates/steer/src/ownership/home.rs
+++ b/crates/steer/src/ownership/home.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use model::id;
-use model::seat;
+use model::member;
 use model::service;
 use model::snapshot;
 use model::table;
@@ -91,8 +91,8 @@
     pub fn assign(
         &mut self,
         table: &table::Table,
-        me: &seat::Key,
-        settled: &dyn Fn(&seat::Key) -> model::epoch::Epoch,
+        me: &member::Key,
+        settled: &dyn Fn(&member::Key) -> model::epoch::Epoch,
     ) {
         for (key, upstream) in &mut self.upstreams {
             let slots = upstream.ledger.slots;
@@ -201,7 +201,7 @@
     #[must_use]
     pub fn summaries(
         &self,
-        key: &seat::Key,
+        key: &member::Key,
         region: &id::Region,
         sequence: u64,
         now: Instant,
@@ -227,7 +227,7 @@
     }
 
     /// Lends to `home` what this node does not use of the upstreams it is home of.
-    pub fn lend(&mut self, home: &seat::Key, now: Instant) -> Vec<beat::Loan> {
+    pub fn lend(&mut self, home: &member::Key, now: Instant) -> Vec<beat::Loan> {
         let mut loans = Vec::new();
         for (key, upstream) in &mut self.upstreams {
             let led = upstream.ledger.rights.home() == Some(home);
@@ -248,8 +248,8 @@
     /// Takes in the loans of `lender`, asked for at `asked`.
     pub fn borrow(
         &mut self,
-        lender: &seat::Key,
-        me: &seat::Key,
+        lender: &member::Key,
+        me: &member::Key,
         loans: &[beat::Loan],
         asked: Instant,
         term: Duration,
@@ -266,7 +266,7 @@
     }
 
     /// Takes back from `home`, which is home no longer, all that it does not hold any more.
-    pub fn take_back(&mut self, home: &seat::Key, held: &[beat::Loan]) {
+    pub fn take_back(&mut self, home: &member::Key, held: &[beat::Loan]) {
         for (key, upstream) in &mut self.upstreams {
             if upstream.ledger.rights.home() == Some(home) {
                 continue;
@@ -278,7 +278,7 @@
 
     /// Returns what this node still holds of `lender` at upstreams it is no longer home of.
     #[must_use]
-    pub fn held(&self, me: &seat::Key, lender: &seat::Key) -> Vec<beat::Loan> {
+    pub fn held(&self, me: &member::Key, lender: &member::Key) -> Vec<beat::Loan> {
         let mut held = Vec::new();
         for (key, upstream) in &self.upstreams {
             if upstream.ledger.rights.home() == Some(me) {
@@ -296,7 +296,7 @@
 
     /// Returns the nodes whose shares this node borrows.
     #[must_use]
-    pub fn lenders(&self, me: &seat::Key) -> collections::BTreeSet<&seat::Key> {
+    pub fn lenders(&self, me: &member::Key) -> collections::BTreeSet<&member::Key> {
         let led = self.upstreams.values().filter(|u| u.ledger.rights.home() == Some(me));
         led.flat_map(|u| u.ledger.rights.ranked.iter().skip(1)).collect()
     }
--- a/crates/steer/src/ownership/homes.rs
+++ b/crates/steer/src/ownership/homes.rs
@@ -4,7 +4,7 @@
 use std::net;
 
 use model::id;
-use model::seat;
+use model::member;
 use model::service;
 use model::table;
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Home {
     /// The node.
-    pub key: seat::Key,
+    pub key: member::Key,
     /// Its face for peers.
     pub peers: net::SocketAddr,
     /// Slots it can be expected to use.
@@ -30,12 +30,12 @@
 pub fn find(
     table: &table::Table,
     service: &service::Service,
-    is_alive: &dyn Fn(&seat::Key) -> bool,
+    is_alive: &dyn Fn(&member::Key) -> bool,
 ) -> Vec<Home> {
-    let mut weights: collections::BTreeMap<&seat::Key, u32> = collections::BTreeMap::new();
+    let mut weights: collections::BTreeMap<&member::Key, u32> = collections::BTreeMap::new();
     for upstream in service.upstreams.iter().filter(|u| u.region == table.region) {
         let key = upstream::Key { service: service.name.clone(), upstream: upstream.name.clone() };
-        let ranked = rank::top(&key, table.seats.iter().map(|s| &s.key));
+        let ranked = rank::top(&key, table.listed.iter().map(|s| &s.key));
         let ranks = ranked.len();
         let first_alive = ranked.into_iter().enumerate().find(|(_, key)| is_alive(key));
         match first_alive {
@@ -46,9 +46,9 @@
             None => {}
         }
     }
-    let home = |(key, weight): (&seat::Key, u32)| {
-        let seat = table.seat(key)?;
-        Some(Home { key: key.clone(), peers: seat.peers, weight })
+    let home = |(key, weight): (&member::Key, u32)| {
+        let listed = table.find(key)?;
+        Some(Home { key: key.clone(), peers: listed.peers, weight })
     };
     weights.into_iter().filter_map(home).filter(|h| h.weight > 0).collect()
 }
--- a/crates/steer/src/ownership/ledger.rs
+++ b/crates/steer/src/ownership/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections;
 use std::time::Instant;
 
-use model::seat;
+use model::member;
 
 use crate::ownership::loan;
 use crate::ownership::rights;
@@ -14,7 +14,7 @@
     /// One that this node has by right.
     Own,
     /// One that another node lent.
-    Loan(seat::Key),
+    Loan(member::Key),
 }
 
 /// Slots of one upstream as this node may use them.
@@ -26,8 +26,8 @@
     pub rights: rights::Rights,
     running: u32,
     cooling: Vec<(Instant, Source)>,
-    borrowed: collections::BTreeMap<seat::Key, loan::Borrowed>,
-    lent: collections::BTreeMap<seat::Key, loan::Lent>,
+    borrowed: collections::BTreeMap<member::Key, loan::Borrowed>,
+    lent: collections::BTreeMap<member::Key, loan::Lent>,
 }
 
 impl Ledger {
@@ -113,7 +113,7 @@
     }
 
     /// Lends all that is free to `home` until `until`; returns the slots lent.
-    pub fn lend(&mut self, home: &seat::Key, now: Instant, until: Instant) -> u32 {
+    pub fn lend(&mut self, home: &member::Key, now: Instant, until: Instant) -> u32 {
         let others = self.lent.iter().filter(|(key, _)| *key != home);
         let others: u32 = others.map(|(_, lent)| lent.slots(now)).sum();
         let free = self.rights.usable.saturating_sub(self.running + others);
@@ -124,14 +124,14 @@
     }
 
     /// Takes back from `home` all but `held` slots, by its own word.
-    pub fn take_back(&mut self, home: &seat::Key, held: u32) {
+    pub fn take_back(&mut self, home: &member::Key, held: u32) {
         if let Some(lent) = self.lent.get_mut(home) {
             lent.limit(held);
         }
     }
 
     /// Notes a loan from `lender`, asked for at `asked`, which is before its promise began.
-    pub fn borrow(&mut self, lender: &seat::Key, slots: u32, asked: Instant, terms: loan::Terms) {
+    pub fn borrow(&mut self, lender: &member::Key, slots: u32, asked: Instant, terms: loan::Terms) {
         self.borrowed.entry(lender.clone()).or_default().renew(slots, asked, terms);
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Returns, for each lender, the slots of its loan that are in use.
-    pub fn held(&self) -> impl Iterator<Item = (&seat::Key, u32)> {
+    pub fn held(&self) -> impl Iterator<Item = (&member::Key, u32)> {
         self.borrowed.iter().map(|(lender, borrowed)| (lender, borrowed.running))
     }
 
--- a/crates/steer/src/ownership/members.rs
+++ b/crates/steer/src/ownership/members.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use model::id;
-use model::seat;
+use model::member;
 use model::table;
 
 use crate::ownership::beat;
@@ -34,7 +34,7 @@
 pub struct Members {
     own: id::Region,
     known: collections::BTreeMap<id::Node, Known>,
-    seats: collections::BTreeMap<id::Region, collections::BTreeSet<seat::Key>>,
+    listed: collections::BTreeMap<id::Region, collections::BTreeSet<member::Key>>,
     signs: collections::BTreeMap<id::Region, Instant>,
 }
 
@@ -82,7 +82,7 @@
         Self {
             own,
             known: collections::BTreeMap::new(),
-            seats: collections::BTreeMap::new(),
+            listed: collections::BTreeMap::new(),
             signs: collections::BTreeMap::new(),
         }
     }
@@ -92,11 +92,11 @@
         if table.region == self.own {
             return;
         }
-        let keys = table.seats.iter().map(|seat| seat.key.clone()).collect();
-        self.seats.insert(table.region.clone(), keys);
+        let keys = table.listed.iter().map(|listed| listed.key.clone()).collect();
+        self.listed.insert(table.region.clone(), keys);
         let of_region = self.known.values_mut().filter(|k| k.member.region == table.region);
         for known in of_region {
-            known.far = Some(table.seat(&known.member.key).is_some());
+            known.far = Some(table.find(&known.member.key).is_some());
         }
     }
 
@@ -169,7 +169,7 @@
 
     /// Returns one incarnation, when it is the known one.
     #[must_use]
-    pub fn incarnation(&self, key: &seat::Key) -> Option<&Known> {
+    pub fn incarnation(&self, key: &member::Key) -> Option<&Known> {
         self.known.get(&key.node).filter(|k| k.member.key == *key)
     }
 
@@ -203,8 +203,8 @@
         match member.region == self.own {
             true => None,
             false => {
-                let seats = self.seats.get(&member.region);
-                Some(seats.is_none_or(|seats| seats.contains(&member.key)))
+                let listed = self.listed.get(&member.region);
+                Some(listed.is_none_or(|listed| listed.contains(&member.key)))
             }
         }
     }
--- a/crates/steer/src/ownership/rank.rs
+++ b/crates/steer/src/ownership/rank.rs
@@ -4,7 +4,7 @@
 //! gets a score from a hash of both names, and the highest scores win. A node that joins or leaves
 //! moves only the upstreams it is ranked for.
 
-use model::seat;
+use model::member;
 use xxhash_rust::xxh3;
 
 use model::upstream;
@@ -16,13 +16,13 @@
 #[must_use]
 pub fn top<'a>(
     upstream: &upstream::Key,
-    nodes: impl Iterator<Item = &'a seat::Key>,
-) -> Vec<&'a seat::Key> {
+    nodes: impl Iterator<Item = &'a member::Key>,
+) -> Vec<&'a member::Key> {
     let seed = xxh3::xxh3_64_with_seed(
         upstream.upstream.as_str().as_bytes(),
         xxh3::xxh3_64(upstream.service.as_str().as_bytes()),
     );
-    let mut best: Vec<(u64, &seat::Key)> = Vec::with_capacity(RANKS + 1);
+    let mut best: Vec<(u64, &member::Key)> = Vec::with_capacity(RANKS + 1);
     for key in nodes {
         let score = xxh3::xxh3_64_with_seed(key.node.as_str().as_bytes(), seed);
         let at = best.partition_point(|(s, k)| (*s, *k) > (score, key));
--- a/crates/steer/src/ownership/registrar.rs
+++ b/crates/steer/src/ownership/registrar.rs
@@ -6,7 +6,7 @@
 use std::collections;
 use std::time::{Duration, Instant};
 
-use model::seat;
+use model::member;
 use model::table;
 
 use crate::ownership::beat;
@@ -27,7 +27,7 @@
 pub struct Registrar {
     wanted_since: Option<Instant>,
     proposed: Option<Instant>,
-    ends: collections::BTreeMap<seat::Key, Instant>,
+    ends: collections::BTreeMap<member::Key, Instant>,
 }
 
 /// What the registrar looks at.
@@ -41,7 +41,7 @@
     pub members: &'a members::Members,
     /// The VM list.
     pub vms: &'a vms::List,
-    /// Since when this node has listened; a seat it never heard of is not judged before.
+    /// Since when this node has listened; a listed node it never heard of is not judged before.
     pub started: Instant,
     /// Time after which nothing a stopped node sent can still run.
     pub tail: Duration,
@@ -76,7 +76,7 @@
     }
 
     /// Returns departed nodes that are proved to have ended, and have been for the tail's time.
-    fn ended(&mut self, view: &View<'_>) -> Vec<seat::Key> {
+    fn ended(&mut self, view: &View<'_>) -> Vec<member::Key> {
         let mut ended = Vec::new();
         for departed in &view.table.departed {
             let acknowledged = view
@@ -100,19 +100,19 @@
                 ended.push(departed.key.clone());
             }
         }
-        let listed = |key: &seat::Key| view.table.departed.iter().any(|d| d.key == *key);
+        let listed = |key: &member::Key| view.table.departed.iter().any(|d| d.key == *key);
         self.ends.retain(|key, _| listed(key));
         ended
     }
 }
 
-/// Returns the live nodes of the region that have no seat.
-fn joins(view: &View<'_>) -> Vec<seat::Seat> {
+/// Returns the live nodes of the region that the table does not list.
+fn joins(view: &View<'_>) -> Vec<member::Listed> {
     let in_region = view.members.alive(view.now).map(|k| &k.member);
     in_region
         .filter(|m| m.region == view.me.region && !m.is_leaving)
-        .filter(|m| view.table.seat(&m.key).is_none())
-        .map(|m| seat::Seat {
+        .filter(|m| view.table.find(&m.key).is_none())
+        .map(|m| member::Listed {
             key: m.key.clone(),
             hall: m.hall.clone(),
             peers: m.peers,
@@ -122,24 +122,24 @@
         .collect()
 }
 
-/// Returns the seated nodes that are leaving, replaced, gone or long silent.
-fn leaves(view: &View<'_>) -> Vec<seat::Key> {
+/// Returns the listed nodes that are leaving, replaced, gone or long silent.
+fn leaves(view: &View<'_>) -> Vec<member::Key> {
     let listened = view.now.saturating_duration_since(view.started);
-    let leaves = |seat: &&seat::Seat| match view.members.get(&seat.key.node) {
-        Some(known) if known.member.key != seat.key => true,
+    let leaves = |listed: &&member::Listed| match view.members.get(&listed.key.node) {
+        Some(known) if known.member.key != listed.key => true,
         Some(known) if known.member.is_leaving => true,
         Some(known) => known.is_dead(view.now),
         None => listened >= members::DEAD_AFTER,
     };
-    view.table.seats.iter().filter(leaves).map(|s| s.key.clone()).collect()
+    view.table.listed.iter().filter(leaves).map(|s| s.key.clone()).collect()
 }
 
 /// Returns the table with what its nodes have said of themselves since it was written.
 fn with_settled(view: &View<'_>) -> table::Table {
     let mut table = view.table.clone();
-    let known = |key: &seat::Key| view.members.incarnation(key).map(|k| k.member.settled);
-    for seat in &mut table.seats {
-        seat.settled = known(&seat.key).map_or(seat.settled, |s| s.max(seat.settled));
+    let known = |key: &member::Key| view.members.incarnation(key).map(|k| k.member.settled);
+    for listed in &mut table.listed {
+        listed.settled = known(&listed.key).map_or(listed.settled, |s| s.max(listed.settled));
     }
     for departed in &mut table.departed {
         let settled = departed.settled;
--- a/crates/steer/src/ownership/rights.rs
+++ b/crates/steer/src/ownership/rights.rs
@@ -13,7 +13,7 @@
 //! their floor, which is no more than their share in that epoch, which it counted too.
 
 use model::epoch;
-use model::seat;
+use model::member;
 use model::table;
 
 use crate::ownership::rank;
@@ -28,7 +28,7 @@
     /// Slots this node may use.
     pub usable: u32,
     /// The nodes that hold shares in the newest epoch, the home first.
-    pub ranked: Vec<seat::Key>,
+    pub ranked: Vec<member::Key>,
 }
 
 impl Rights {
@@ -40,7 +40,7 @@
 
     /// Returns the home in the newest epoch.
     #[must_use]
-    pub fn home(&self) -> Option<&seat::Key> {
+    pub fn home(&self) -> Option<&member::Key> {
         self.ranked.first()
     }
 }
@@ -50,14 +50,14 @@
 /// `settled` tells the lowest epoch a node may still act on, as far as is known.
 pub fn compute(
     table: &table::Table,
-    me: &seat::Key,
+    me: &member::Key,
     upstream: &upstream::Key,
     slots: u32,
-    settled: &dyn Fn(&seat::Key) -> epoch::Epoch,
+    settled: &dyn Fn(&member::Key) -> epoch::Epoch,
 ) -> Rights {
     let epochs = epochs(table, upstream, slots);
-    let nodes = table.seats.iter().map(|s| &s.key).chain(table.departed.iter().map(|d| &d.key));
-    let nodes: Vec<(&seat::Key, epoch::Epoch)> = nodes.map(|k| (k, settled(k))).collect();
+    let nodes = table.listed.iter().map(|s| &s.key).chain(table.departed.iter().map(|d| &d.key));
+    let nodes: Vec<(&member::Key, epoch::Epoch)> = nodes.map(|k| (k, settled(k))).collect();
     let others = nodes.iter().filter(|(key, _)| *key != me);
     let lowest = others.clone().map(|(_, s)| *s).min().unwrap_or(table.epoch).min(table.epoch);
     let reserved: u32 = others.map(|(key, since)| greatest(&epochs, key, *since)).sum();
@@ -76,24 +76,24 @@
 /// The shares of one upstream in one epoch.
 struct Shares {
     epoch: epoch::Epoch,
-    shares: Vec<(seat::Key, u32)>,
+    shares: Vec<(member::Key, u32)>,
 }
 
 impl Shares {
-    fn share(&self, key: &seat::Key) -> u32 {
+    fn share(&self, key: &member::Key) -> u32 {
         self.shares.iter().find(|(k, _)| k == key).map_or(0, |(_, share)| *share)
     }
 }
 
 fn epochs(table: &table::Table, upstream: &upstream::Key, slots: u32) -> Vec<Shares> {
     let past = table.past.iter().map(|p| shares(p.epoch, p.keys.iter(), upstream, slots));
-    let newest = shares(table.epoch, table.seats.iter().map(|s| &s.key), upstream, slots);
+    let newest = shares(table.epoch, table.listed.iter().map(|s| &s.key), upstream, slots);
     past.chain([newest]).collect()
 }
 
 fn shares<'a>(
     epoch: epoch::Epoch,
-    keys: impl Iterator<Item = &'a seat::Key>,
+    keys: impl Iterator<Item = &'a member::Key>,
     upstream: &upstream::Key,
     slots: u32,
 ) -> Shares {
@@ -104,6 +104,6 @@
     Shares { epoch, shares }
 }
 
-fn greatest(epochs: &[Shares], key: &seat::Key, since: epoch::Epoch) -> u32 {
+fn greatest(epochs: &[Shares], key: &member::Key, since: epoch::Epoch) -> u32 {
     epochs.iter().filter(|e| e.epoch >= since).map(|e| e.share(key)).max().unwrap_or(0)
 }
--- a/crates/steer/src/ownership/router.rs
+++ b/crates/steer/src/ownership/router.rs
@@ -5,7 +5,7 @@
 
 use model::fraction;
 use model::id;
-use model::seat;
+use model::member;
 use model::snapshot;
 use model::table;
 use model::verdict;
@@ -105,7 +105,7 @@
         &mut self,
         snapshot: &snapshot::Snapshot,
         tables: &collections::BTreeMap<id::Region, std::sync::Arc<table::Table>>,
-        is_alive: &dyn Fn(&seat::Key) -> bool,
+        is_alive: &dyn Fn(&member::Key) -> bool,
     ) {
         self.homes.clear();
         for stored in snapshot.services.values() {
@@ -342,7 +342,7 @@
     /// The configuration.
     pub snapshot: &'a snapshot::Snapshot,
     /// Whether a node may be given work.
-    pub is_alive: &'a dyn Fn(&seat::Key) -> bool,
+    pub is_alive: &'a dyn Fn(&member::Key) -> bool,
     /// Whether all nodes of a region have been silent for so long that it counts as lost.
     pub is_lost: &'a dyn Fn(&id::Region) -> bool,
     /// The region of this node.
--- a/crates/steer/src/ownership/summaries.rs
+++ b/crates/steer/src/ownership/summaries.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use model::id;
-use model::seat;
+use model::member;
 
 use crate::ownership::beat;
 
@@ -26,7 +26,7 @@
 /// Summaries that were heard.
 #[derive(Debug, Default)]
 pub struct Summaries {
-    homes: collections::BTreeMap<(id::Service, seat::Key), Heard>,
+    homes: collections::BTreeMap<(id::Service, member::Key), Heard>,
     regions: collections::BTreeMap<(id::Service, id::Region), Heard>,
     summed: Option<Instant>,
 }
--- a/crates/steer/tests/core.rs
+++ b/crates/steer/tests/core.rs
@@ -9,9 +9,9 @@
 use model::document;
 use model::epoch::Epoch;
 use model::id;
+use model::member::{Key, Listed};
 use model::resource::Kind;
 use model::revision::Revision;
-use model::seat::{Key, Seat};
 use model::snapshot::Snapshot;
 use model::table::Table;
 use model::upstream;
@@ -68,14 +68,14 @@
             is_leaving: false,
         };
         let snapshot = put(&Snapshot::default(), Kind::Service, SERVICE, wall);
-        let seat = Seat {
+        let listed = Listed {
             key: key(),
             hall: me.hall.clone(),
             peers: at(),
             callers: at(),
             settled: Epoch(1),
         };
-        let table = Arc::new(Table::empty(&me.region).next(&[seat], &[], &[]));
+        let table = Arc::new(Table::empty(&me.region).next(&[listed], &[], &[]));
         let core = Core::new(me, Vec::new(), now, wall);
         let mut node = Self { core, now, wall, snapshot, table, next: 0 };
         let (snapshot, table) = (Arc::clone(&node.snapshot), Arc::clone(&node.table));
--- a/crates/steer/tests/fleet/world.rs
+++ b/crates/steer/tests/fleet/world.rs
@@ -9,9 +9,9 @@
 use model::check;
 use model::epoch;
 use model::id;
+use model::member;
 use model::resource;
 use model::revision;
-use model::seat;
 use model::service;
 use model::snapshot;
 use model::table;
@@ -574,7 +574,7 @@
 
 fn member(number: usize, start: u64) -> beat::Member {
     beat::Member {
-        key: seat::Key { node: name(number), incarnation: start },
+        key: member::Key { node: name(number), incarnation: start },
         region: id::Region::new(REGION),
         hall: id::Hall::new("dakar-1"),
         callers: address(number),
