--- a/crates/bench/src/scale/fleet.rs
+++ b/crates/bench/src/scale/fleet.rs
@@ -4,6 +4,7 @@
 use std::sync;
 use std::time::{Duration, Instant, SystemTime};
 
+use model::acceptance;
 use model::change;
 use model::check;
 use model::epoch;
@@ -231,8 +232,9 @@
     let places = (0..SITES).map(|n| resource::Resource::Place(place(n)));
     let steps = services.chain(places).map(|resource| change::Step::Put { resource }).collect();
     let change = change::Change { operation: "scale".to_owned(), expected: None, steps };
-    let facts = check::Facts::at(wall);
-    snapshot::Snapshot::default().apply(&change, &facts).expect("the declarations are valid")
+    let facts = check::facts::Facts::at(wall);
+    acceptance::apply(&snapshot::Snapshot::default(), &change, &facts)
+        .expect("the declarations are valid")
 }
 
 fn upstream_of(service: usize, site: usize, regions: usize) -> upstream::Upstream {
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -5,6 +5,7 @@
 use std::time::SystemTime;
 
 use anyhow::Context as _;
+use model::acceptance;
 use model::change;
 use model::check;
 use model::resource;
@@ -51,8 +52,8 @@
     let count = declared.len();
     let steps = declared.into_iter().map(|resource| change::Step::Put { resource }).collect();
     let change = change::Change { operation: "check".to_owned(), expected: None, steps };
-    let facts = check::Facts::at(SystemTime::now());
-    match snapshot::Snapshot::default().apply(&change, &facts) {
+    let facts = check::facts::Facts::at(SystemTime::now());
+    match acceptance::apply(&snapshot::Snapshot::default(), &change, &facts) {
         Ok(_) => {
             printer::line(&format!("{count} declarations are valid"));
             Ok(Code::Done)
--- a/crates/model/src/check_route.rs
+++ b/crates/model/src/check/route.rs
@@ -1,24 +1,25 @@
-//! Rules that accepted routes and evacuations keep.
+//! Rules for routes.
 
 use std::collections;
 
-use crate::check;
-use crate::evacuation;
+use super::LONGEST_DEADLINE;
+use super::findings::{Findings, NAME_RULE};
 use crate::id;
 use crate::route;
 use crate::snapshot;
 
-/// Most upstreams that a route may send one request to.
+/// Most upstreams that a route may send one request to. Bounds the load of one request; not measured.
 const MOST_ATTEMPTS: u32 = 8;
 
-pub(crate) fn check(route: &route::Route, next: &snapshot::Snapshot, found: &mut check::Findings) {
+/// Checks one route.
+pub(super) fn check(route: &route::Route, next: &snapshot::Snapshot, found: &mut Findings) {
     let who = format!("route {}", route.name);
-    found.expect(id::is_valid(route.name.as_str()), &who, "name", check::NAME_RULE);
+    found.expect(id::is_valid(route.name.as_str()), &who, "name", NAME_RULE);
     let host_ok = !route.host.is_empty() && !route.host.contains([' ', '/', ':']);
     found.expect(host_ok, &who, "host", "expected a host name without port");
     let prefix_ok = route.prefix.starts_with('/') && route.prefix.ends_with('/');
     found.expect(prefix_ok, &who, "prefix", "expected to begin and end with `/`");
-    let timeout_ok = !route.timeout.is_zero() && route.timeout <= check::LONGEST_DEADLINE;
+    let timeout_ok = !route.timeout.is_zero() && route.timeout <= LONGEST_DEADLINE;
     found.expect(timeout_ok, &who, "timeout", "expected more than 0s and at most 60s");
     let target_ok = !route.target_latency.is_zero() && route.target_latency <= route.timeout;
     found.expect(target_ok, &who, "target_latency", "expected more than 0s, at most the timeout");
@@ -28,12 +29,7 @@
     check_homes(route, next, &who, found);
 }
 
-fn check_parts(
-    route: &route::Route,
-    next: &snapshot::Snapshot,
-    who: &str,
-    found: &mut check::Findings,
-) {
+fn check_parts(route: &route::Route, next: &snapshot::Snapshot, who: &str, found: &mut Findings) {
     let has_weight = route.parts.iter().any(|part| part.weight > 0);
     found.expect(has_weight, who, "parts", "expected a part with a weight above 0");
     let mut names = collections::BTreeSet::new();
@@ -45,12 +41,7 @@
     }
 }
 
-fn check_homes(
-    route: &route::Route,
-    next: &snapshot::Snapshot,
-    who: &str,
-    found: &mut check::Findings,
-) {
+fn check_homes(route: &route::Route, next: &snapshot::Snapshot, who: &str, found: &mut Findings) {
     let services = route.parts.iter().filter_map(|part| next.services.get(&part.service));
     let regions: collections::BTreeSet<&id::Region> =
         services.flat_map(|s| s.spec.upstreams.iter().map(|u| &u.region)).collect();
@@ -61,7 +52,8 @@
     }
 }
 
-pub(crate) fn check_unique(next: &snapshot::Snapshot, found: &mut check::Findings) {
+/// Checks that no two routes match the same host and prefix.
+pub(super) fn check_unique(next: &snapshot::Snapshot, found: &mut Findings) {
     let mut owners = collections::BTreeMap::new();
     for stored in next.routes.values() {
         let place = (stored.spec.host.to_ascii_lowercase(), &stored.spec.prefix);
@@ -71,15 +63,3 @@
         }
     }
 }
-
-pub(crate) fn check_evacuation(
-    evacuation: &evacuation::Evacuation,
-    next: &snapshot::Snapshot,
-    found: &mut check::Findings,
-) {
-    let who = format!("evacuation {}", evacuation.name);
-    found.expect(id::is_valid(evacuation.name.as_str()), &who, "name", check::NAME_RULE);
-    let upstreams = next.services.values().flat_map(|s| &s.spec.upstreams);
-    let holds = upstreams.into_iter().any(|u| u.hall == evacuation.hall);
-    found.expect(holds, &who, "hall", "expected a hall that holds upstreams");
-}
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -2,8 +2,7 @@
 //!
 //! Nothing here performs input or output; the packages above it do.
 
-mod check_route;
-
+pub mod acceptance;
 pub mod blocks;
 pub mod bounds;
 pub mod cap;
--- a/crates/model/src/snapshot.rs
+++ b/crates/model/src/snapshot.rs
@@ -7,7 +7,6 @@
 
 use crate::cap;
 use crate::change;
-use crate::check;
 use crate::drain;
 use crate::evacuation;
 use crate::id;
@@ -75,33 +74,6 @@
         self.operations.iter().rev().find(|o| o.id == id).map(|o| o.revision)
     }
 
-    /// Returns the snapshot after `change`, checked as a whole.
-    ///
-    /// # Errors
-    ///
-    /// Refuses when the expected revision does not stand, a resource to delete is missing, or a
-    /// rule fails.
-    pub fn apply(
-        &self,
-        change: &change::Change,
-        facts: &check::Facts,
-    ) -> Result<Self, refusal::Refusal> {
-        match change.expected {
-            Some(expected) if expected != self.revision => {
-                return Err(refusal::Refusal::Conflict { expected, found: self.revision });
-            }
-            _ => {}
-        }
-        let mut next = self.clone();
-        next.revision = self.revision.next();
-        for step in &change.steps {
-            next.take(step)?;
-        }
-        check::check(&next, self, facts)?;
-        next.remember(&change.operation);
-        Ok(next)
-    }
-
     /// Returns every resource with its revision, services first.
     #[must_use]
     pub fn resources(&self) -> Vec<(revision::Revision, resource::Resource)> {
@@ -153,7 +125,12 @@
         }
     }
 
-    fn take(&mut self, step: &change::Step) -> Result<(), refusal::Refusal> {
+    /// Makes one step of a change, under the revision that stands.
+    ///
+    /// # Errors
+    ///
+    /// Refuses when a resource to delete is missing.
+    pub(crate) fn take(&mut self, step: &change::Step) -> Result<(), refusal::Refusal> {
         match step {
             change::Step::Put { resource } => {
                 self.put(resource);
@@ -202,7 +179,8 @@
         }
     }
 
-    fn remember(&mut self, operation: &str) {
+    /// Remembers an accepted operation, and forgets the oldest beyond [`MOST_OPERATIONS`].
+    pub(crate) fn remember(&mut self, operation: &str) {
         self.operations.push_back(Operation { id: operation.to_owned(), revision: self.revision });
         while self.operations.len() > MOST_OPERATIONS {
             self.operations.pop_front();
--- a/crates/model/tests/declarations.rs
+++ b/crates/model/tests/declarations.rs
@@ -2,8 +2,9 @@
 
 use std::time::{Duration, SystemTime};
 
+use model::acceptance;
 use model::change::{Change, Step};
-use model::check::{Facts, Use};
+use model::check::facts::{Facts, Use};
 use model::document;
 use model::id;
 use model::refusal::Refusal;
@@ -24,7 +25,8 @@
     }
     let change = Change { operation: "start".to_owned(), expected: None, steps };
     let empty = Snapshot::default();
-    empty.apply(&change, &Facts::at(SystemTime::now())).expect("the example is accepted")
+    acceptance::apply(&empty, &change, &Facts::at(SystemTime::now()))
+        .expect("the example is accepted")
 }
 
 fn put(kind: Kind, text: &str) -> Change {
@@ -33,7 +35,7 @@
 }
 
 fn problems(snapshot: &Snapshot, change: &Change, facts: &Facts) -> String {
-    match snapshot.apply(change, facts) {
+    match acceptance::apply(snapshot, change, facts) {
         Err(Refusal::Invalid { problems }) => {
             problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
         }
@@ -54,7 +56,8 @@
         let steps: Vec<Step> =
             first.resources().into_iter().map(|(_, resource)| Step::Put { resource }).collect();
         let again = Change { operation: "again".to_owned(), expected: None, steps };
-        let second = first.apply(&again, &Facts::at(SystemTime::now())).expect("it is accepted");
+        let second = acceptance::apply(&first, &again, &Facts::at(SystemTime::now()))
+            .expect("it is accepted");
         assert_eq!(second.revision, Revision(2));
         assert_eq!(second.services, first.services, "nothing changed, so no resource's revision");
     }
@@ -83,7 +86,7 @@
     assert!(message.contains("moves 25% in 1s"), "{message}");
     assert!(message.contains("out of region dakar takes 4s, but the start is"), "{message}");
     let later = drain("region: dakar", Duration::from_secs(5), now);
-    snapshot.apply(&later, &facts).expect("four seconds are enough");
+    acceptance::apply(&snapshot, &later, &facts).expect("four seconds are enough");
 }
 
 #[test]
@@ -94,7 +97,7 @@
     let facts = Facts { wall: now, in_use: [(id::Service::new("catalogue"), used)].into() };
     let later = Duration::from_secs(60);
     let one = drain("region: ziguinchor", later, now);
-    let one = snapshot.apply(&one, &facts).expect("84 slots are left for 60");
+    let one = acceptance::apply(&snapshot, &one, &facts).expect("84 slots are left for 60");
     let mut two = drain("region: thies", later, now);
     if let Step::Put { resource: model::resource::Resource::Drain(drain) } = &mut two.steps[0] {
         drain.name = id::Drain::new("other");
@@ -112,7 +115,7 @@
     let mut stale = put(Kind::Place, "name: p\nblocks: [\"10.9.0.0/16\"]\nlinks: []\n");
     stale.expected = Some(Revision(9));
     let conflict = Refusal::Conflict { expected: Revision(9), found: Revision(1) };
-    assert_eq!(snapshot.apply(&stale, &Facts::at(SystemTime::now())), Err(conflict));
+    assert_eq!(acceptance::apply(&snapshot, &stale, &Facts::at(SystemTime::now())), Err(conflict));
 }
 
 const ROUTE: &str = "name: reads\nhost: find.example\nprefix: /items/\nrepetition: idempotent\n\
@@ -122,21 +125,22 @@
 fn a_route_and_an_evacuation_are_accepted_and_found_again() {
     let now = Facts::at(SystemTime::now());
     let first = example("diagne");
-    let second = first.apply(&put(Kind::Route, ROUTE), &now).expect("it is accepted");
+    let second = acceptance::apply(&first, &put(Kind::Route, ROUTE), &now).expect("it is accepted");
     let evacuation = put(Kind::Evacuation, "name: works\nhall: dakar-1\n");
-    let third = second.apply(&evacuation, &now).expect("it is accepted");
+    let third = acceptance::apply(&second, &evacuation, &now).expect("it is accepted");
     assert!(third.resource(Kind::Route, "reads").is_some());
     assert!(third.resource(Kind::Evacuation, "works").is_some());
     let steps = vec![Step::Delete { kind: Kind::Evacuation, name: "works".to_owned() }];
     let delete = Change { operation: "back".to_owned(), expected: None, steps };
-    let fourth = third.apply(&delete, &now).expect("it is accepted");
+    let fourth = acceptance::apply(&third, &delete, &now).expect("it is accepted");
     assert!(fourth.resource(Kind::Evacuation, "works").is_none());
 }
 
 #[test]
 fn wrong_routes_are_refused_by_field() {
     let now = Facts::at(SystemTime::now());
-    let standing = example("diagne").apply(&put(Kind::Route, ROUTE), &now).expect("accepted");
+    let standing =
+        acceptance::apply(&example("diagne"), &put(Kind::Route, ROUTE), &now).expect("accepted");
     let wrong = [
         (ROUTE.replace("/items/", "items"), "prefix: expected to begin and end with `/`"),
         (ROUTE.replace("find.example", "a:80"), "host: expected a host name without port"),
--- a/crates/node/src/common/store/accept.rs
+++ b/crates/node/src/common/store/accept.rs
@@ -4,6 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use model::acceptance;
 use model::change;
 use model::check;
 use model::refusal;
@@ -81,7 +82,7 @@
 pub async fn apply<S: edge::Store>(
     store: &S,
     change: &change::Change,
-    facts: &check::Facts,
+    facts: &check::facts::Facts,
 ) -> (Outcome, Option<sync::Arc<snapshot::Snapshot>>) {
     let mut sent_on = None;
     let mut pause = PAUSE;
@@ -97,7 +98,7 @@
         if let Some(revision) = standing.snapshot.operation(&change.operation) {
             return (Outcome::Accepted { revision }, Some(standing.snapshot));
         }
-        let next = match standing.snapshot.apply(change, facts) {
+        let next = match acceptance::apply(&standing.snapshot, change, facts) {
             Ok(next) => next,
             // A lost write may yet land, but only on the value that it expected.
             Err(_) if sent_on == Some(standing.version) => break,
--- a/crates/node/src/owner/store/keep.rs
+++ b/crates/node/src/owner/store/keep.rs
@@ -143,8 +143,10 @@
     async fn grant(&self, mut wishes: mpsc::Receiver<Wish>) {
         while let Some(wish) = wishes.recv().await {
             let view = self.decisions.view();
-            let facts =
-                check::Facts { wall: self.decisions.clock().wall(), in_use: view.in_use.clone() };
+            let facts = check::facts::Facts {
+                wall: self.decisions.clock().wall(),
+                in_use: view.in_use.clone(),
+            };
             let (outcome, snapshot) = accept::apply(&*self.store, &wish.change, &facts).await;
             if let Some(snapshot) = snapshot {
                 let _ = self.decisions.tell(event::Event::Configure { snapshot });
--- a/crates/steer/tests/fleet/world.rs
+++ b/crates/steer/tests/fleet/world.rs
@@ -612,5 +612,6 @@
     let steps = vec![change::Step::Put { resource }];
     let change = change::Change { operation: "start".to_owned(), expected: None, steps };
     let empty = snapshot::Snapshot::default();
-    empty.apply(&change, &check::Facts::at(wall)).expect("the declaration is valid")
+    model::acceptance::apply(&empty, &change, &check::facts::Facts::at(wall))
+        .expect("the declaration is valid")
 }
