--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -8,9 +8,9 @@
 use crate::args;
 use crate::client;
 use crate::commands::outcome;
-use crate::controller::Code;
 use crate::declarations;
 use crate::diff;
+use crate::exit;
 use crate::printer;
 
 /// Makes the configuration equal to the declarations.
@@ -18,16 +18,16 @@
 /// # Errors
 ///
 /// Fails when the declarations are malformed or the node does not answer.
-pub async fn run(args: &args::Apply) -> anyhow::Result<Code> {
+pub async fn run(args: &args::Apply) -> anyhow::Result<exit::Code> {
     let client = client::Client::new(&args.server)?;
     let (revision, diff) = compare(&client, args).await?;
     printer::raw(&diff.text);
     if diff.steps.is_empty() {
         printer::line(&format!("nothing to change at revision {revision}"));
-        return Ok(Code::Done);
+        return Ok(exit::Code::Done);
     }
     if args.dry_run {
-        return Ok(Code::Done);
+        return Ok(exit::Code::Done);
     }
     let operation = args.operation.clone().unwrap_or_else(client::new_operation);
     let expected = Some(revision);
@@ -47,12 +47,12 @@
 /// # Errors
 ///
 /// Fails when the declarations are malformed or the node does not answer.
-pub async fn show(args: &args::Apply) -> anyhow::Result<Code> {
+pub async fn show(args: &args::Apply) -> anyhow::Result<exit::Code> {
     let client = client::Client::new(&args.server)?;
     let (revision, diff) = compare(&client, args).await?;
     printer::raw(&diff.text);
     printer::note(&format!("{} steps against revision {revision}", diff.steps.len()));
-    Ok(Code::Done)
+    Ok(exit::Code::Done)
 }
 
 async fn compare(
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -14,8 +14,8 @@
 use node::owner::settings;
 
 use crate::args;
-use crate::controller::Code;
 use crate::declarations;
+use crate::exit;
 use crate::printer;
 
 /// Checks settings and declarations without a fleet.
@@ -23,7 +23,7 @@
 /// # Errors
 ///
 /// Fails at the first file that is malformed.
-pub fn run(args: &args::Check) -> anyhow::Result<Code> {
+pub fn run(args: &args::Check) -> anyhow::Result<exit::Code> {
     let mut declared = Vec::new();
     for at in &args.paths {
         match is_settings(at)? {
@@ -35,7 +35,7 @@
         }
     }
     match declared.is_empty() {
-        true => Ok(Code::Done),
+        true => Ok(exit::Code::Done),
         false => check(declared),
     }
 }
@@ -48,7 +48,7 @@
     }
 }
 
-fn check(declared: Vec<resource::Resource>) -> anyhow::Result<Code> {
+fn check(declared: Vec<resource::Resource>) -> anyhow::Result<exit::Code> {
     let count = declared.len();
     let steps = declared.into_iter().map(|resource| change::Step::Put { resource }).collect();
     let change = change::Change { operation: "check".to_owned(), expected: None, steps };
@@ -56,13 +56,13 @@
     match acceptance::apply(&snapshot::Snapshot::default(), &change, &facts) {
         Ok(_) => {
             printer::line(&format!("{count} declarations are valid"));
-            Ok(Code::Done)
+            Ok(exit::Code::Done)
         }
         Err(model::refusal::Refusal::Invalid { problems }) => {
             for problem in problems {
                 printer::error(&anyhow::anyhow!("{problem}"));
             }
-            Ok(Code::Wrong)
+            Ok(exit::Code::Wrong)
         }
         Err(refusal) => Err(refusal.into()),
     }
--- a/crates/cli/src/commands/delete.rs
+++ b/crates/cli/src/commands/delete.rs
@@ -7,7 +7,7 @@
 use crate::args;
 use crate::client;
 use crate::commands::outcome;
-use crate::controller::Code;
+use crate::exit;
 
 /// Time to wait until the change is in force.
 const WAIT: Duration = Duration::from_secs(15);
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// Fails when the node does not answer.
-pub async fn run(args: &args::Delete) -> anyhow::Result<Code> {
+pub async fn run(args: &args::Delete) -> anyhow::Result<exit::Code> {
     let client = client::Client::new(&args.server)?;
     let operation = client::new_operation();
     let step = change::Step::Delete { kind: args.kind, name: args.name.clone() };
--- a/crates/cli/src/commands/get.rs
+++ b/crates/cli/src/commands/get.rs
@@ -4,7 +4,7 @@
 
 use crate::args;
 use crate::client;
-use crate::controller::Code;
+use crate::exit;
 use crate::printer;
 
 /// Lists resources, or shows one.
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// Fails when the node does not answer or the resource does not exist.
-pub async fn run(args: &args::Get) -> anyhow::Result<Code> {
+pub async fn run(args: &args::Get) -> anyhow::Result<exit::Code> {
     let client = client::Client::new(&args.server)?;
     let items = match &args.name {
         Some(name) => vec![client.show(args.kind, name).await?],
@@ -30,7 +30,7 @@
             printer::line(&printer::table(&["NAME", "REVISION", "STATE", "LAGGING"], &rows));
         }
     }
-    Ok(Code::Done)
+    Ok(exit::Code::Done)
 }
 
 fn row(item: &status::Item) -> Vec<String> {
--- a/crates/cli/src/commands/outcome.rs
+++ b/crates/cli/src/commands/outcome.rs
@@ -5,7 +5,7 @@
 use node::common::store::accept;
 
 use crate::client;
-use crate::controller::Code;
+use crate::exit;
 use crate::printer;
 
 /// Time between two questions whether a change is in force.
@@ -21,7 +21,7 @@
     operation: &str,
     outcome: accept::Outcome,
     wait: Duration,
-) -> anyhow::Result<Code> {
+) -> anyhow::Result<exit::Code> {
     match outcome {
         accept::Outcome::Accepted { revision } => {
             printer::line(&format!("accepted as revision {revision} (operation {operation})"));
@@ -29,18 +29,18 @@
         }
         accept::Outcome::Refused { refusal } => {
             printer::error(&anyhow::anyhow!("refused: {refusal}"));
-            Ok(Code::Refused)
+            Ok(exit::Code::Refused)
         }
         accept::Outcome::Unknown { operation } => {
             printer::warning(&format!(
                 "unknown: the store's answer was lost; ask about operation {operation}, or apply \
                  again with --operation {operation}"
             ));
-            Ok(Code::Unknown)
+            Ok(exit::Code::Unknown)
         }
         accept::Outcome::Unavailable => {
             printer::error(&anyhow::anyhow!("the store cannot be reached; nothing was changed"));
-            Ok(Code::Failed)
+            Ok(exit::Code::Failed)
         }
     }
 }
@@ -49,14 +49,14 @@
     client: &client::Client,
     operation: &str,
     wait: Duration,
-) -> anyhow::Result<Code> {
+) -> anyhow::Result<exit::Code> {
     let began = Instant::now();
     while began.elapsed() < wait {
         match client.operation(operation).await? {
             Some(found) if found.in_force => {
                 let seconds = began.elapsed().as_secs_f64();
                 printer::line(&format!("in force on every node after {seconds:.1} s"));
-                return Ok(Code::Done);
+                return Ok(exit::Code::Done);
             }
             _ => tokio::time::sleep(ASK_EVERY).await,
         }
@@ -66,5 +66,5 @@
         let lagging = found.map_or_else(String::new, |f| client::names(&f.lagging));
         printer::warning(&format!("accepted, but not yet in force on: {lagging}"));
     }
-    Ok(Code::Done)
+    Ok(exit::Code::Done)
 }
--- a/crates/cli/src/commands/watch.rs
+++ b/crates/cli/src/commands/watch.rs
@@ -5,7 +5,7 @@
 
 use crate::args;
 use crate::client;
-use crate::controller::Code;
+use crate::exit;
 use crate::printer;
 
 /// Follows the resources of a kind until the node ends the watch.
@@ -13,7 +13,7 @@
 /// # Errors
 ///
 /// Fails when the node does not answer or the stream breaks.
-pub async fn run(args: &args::Watch) -> anyhow::Result<Code> {
+pub async fn run(args: &args::Watch) -> anyhow::Result<exit::Code> {
     let client = client::Client::new(&args.server)?;
     let mut body = client.watch(args.kind).await?.into_body();
     let mut rest = Vec::new();
@@ -25,7 +25,7 @@
             print(&line, args.json)?;
         }
     }
-    Ok(Code::Done)
+    Ok(exit::Code::Done)
 }
 
 fn print(line: &[u8], json: bool) -> anyhow::Result<()> {
--- a/crates/cli/src/demo/hold.rs
+++ b/crates/cli/src/demo/hold.rs
@@ -5,9 +5,9 @@
 
 use serde::Serialize;
 
-use crate::controller::Code;
 use crate::demo::example;
 use crate::demo::fleet;
+use crate::exit;
 use crate::printer;
 
 /// Where everything is.
@@ -32,7 +32,7 @@
 /// # Errors
 ///
 /// Fails when Ctrl-C cannot be waited for.
-pub async fn run(fleet: &fleet::Fleet, example: &example::Example) -> anyhow::Result<Code> {
+pub async fn run(fleet: &fleet::Fleet, example: &example::Example) -> anyhow::Result<exit::Code> {
     let at = Where {
         callers: fleet.nodes.values().map(|n| n.listen.callers).collect(),
         operators: fleet.nodes.values().map(|n| n.listen.operators).collect(),
@@ -43,5 +43,5 @@
     };
     printer::raw(&serde_yaml_ng::to_string(&at)?);
     tokio::signal::ctrl_c().await?;
-    Ok(Code::Done)
+    Ok(exit::Code::Done)
 }
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -3,6 +3,7 @@
 mod example;
 mod fleet;
 mod hold;
+mod phase;
 mod phases;
 mod platform;
 mod report;
@@ -15,7 +16,7 @@
 use node::owner::settings;
 
 use crate::args;
-use crate::controller::Code;
+use crate::exit;
 use crate::printer;
 
 /// Shortest run in which every phase can show what it is for.
@@ -26,7 +27,7 @@
 /// # Errors
 ///
 /// Fails when the example cannot be started, which says nothing about promises.
-pub async fn run(args: &args::Demo) -> anyhow::Result<Code> {
+pub async fn run(args: &args::Demo) -> anyhow::Result<exit::Code> {
     anyhow::ensure!(args.seconds >= LEAST_SECONDS, "--seconds: expected at least {LEAST_SECONDS}");
     node::common::logging::start(settings::Level::Warn, io::stderr())?;
     if args.platform {
@@ -46,7 +47,7 @@
         false => printer::line(&report.as_text()),
     }
     Ok(match report.is_kept() {
-        true => Code::Done,
-        false => Code::Broken,
+        true => exit::Code::Done,
+        false => exit::Code::Broken,
     })
 }
--- a/crates/cli/src/demo/platform/mod.rs
+++ b/crates/cli/src/demo/platform/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::args;
-use crate::controller::Code;
+use crate::exit;
 use crate::printer;
 
 /// Runs the demo.
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// Fails when the deployment cannot be started, which says nothing about promises.
-pub async fn run(args: &args::Demo) -> anyhow::Result<Code> {
+pub async fn run(args: &args::Demo) -> anyhow::Result<exit::Code> {
     printer::note("starting gateways, upstreams and the platform's store on loopback");
     let mut fleet = fleet::Fleet::start().await?;
     let length = Duration::from_secs(args.seconds);
@@ -27,7 +27,7 @@
         false => printer::line(&report.as_text()),
     }
     Ok(match report.is_kept() {
-        true => Code::Done,
-        false => Code::Broken,
+        true => exit::Code::Done,
+        false => exit::Code::Broken,
     })
 }
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -6,7 +6,7 @@
 use standin::truth;
 
 use crate::demo::example;
-use crate::demo::phases;
+use crate::demo::phase;
 use crate::demo::traffic;
 use crate::printer;
 
@@ -63,11 +63,11 @@
         example: &example::Example,
         truth: &truth::Truth,
         records: &[traffic::Record],
-        measured: Vec<phases::Measured>,
+        measured: Vec<phase::Measured>,
         load: (Instant, Instant),
     ) -> anyhow::Result<Self> {
         let mut rows = Vec::new();
-        for (index, phase) in phases::Phase::ALL.into_iter().enumerate() {
+        for (index, phase) in phase::Phase::ALL.into_iter().enumerate() {
             let of_phase = records.iter().filter(|r| r.phase == index);
             let mut row = Row::new(phase.name(), of_phase)?;
             row.drain_time = measured.get(index).and_then(|m| m.drain_time);
@@ -166,7 +166,7 @@
         lines.join("\n")
     }
 
-    fn judge(&mut self, measured: &[phases::Measured]) {
+    fn judge(&mut self, measured: &[phase::Measured]) {
         let mut expect = |holds: bool, broken: String| {
             if !holds {
                 self.broken.push(broken);
@@ -182,7 +182,7 @@
             self.over_slots == 0,
             format!("{} requests found their upstream full", self.over_slots),
         );
-        let leave = phases::Phase::ALL.iter().position(|p| *p == phases::Phase::Leave);
+        let leave = phase::Phase::ALL.iter().position(|p| *p == phase::Phase::Leave);
         let drain_time = leave.and_then(|index| measured.get(index)?.drain_time);
         expect(
             drain_time.is_none_or(|time| time <= LEAVING_TIME),
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinSet;
 
 use crate::args;
-use crate::controller::Code;
+use crate::exit;
 use crate::printer;
 use standin::client as http1;
 
@@ -51,7 +51,7 @@
 /// # Errors
 ///
 /// Fails when the arguments make no request.
-pub async fn command(args: &args::Load) -> anyhow::Result<Code> {
+pub async fn command(args: &args::Load) -> anyhow::Result<exit::Code> {
     anyhow::ensure!(args.rate > 0.0, "--rate: expected more than 0");
     let clients: Vec<http1::Client> = match args.from.is_empty() {
         true => vec![http1::Client::new(None)],
@@ -62,7 +62,7 @@
         true => printer::line(&as_json(&sum).to_string()),
         false => printer::line(&as_table(&sum)),
     }
-    Ok(Code::Done)
+    Ok(exit::Code::Done)
 }
 
 async fn send_all(args: &args::Load, clients: &[http1::Client]) -> anyhow::Result<Sum> {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -7,6 +7,7 @@
 mod declarations;
 mod demo;
 mod diff;
+mod exit;
 mod load;
 mod printer;
 
@@ -22,7 +23,7 @@
         Ok(code) => process::ExitCode::from(code.number()),
         Err(error) => {
             printer::error(&error);
-            process::ExitCode::from(controller::Code::of(&error).number())
+            process::ExitCode::from(exit::Code::of(&error).number())
         }
     }
 }
