--- a/crates/model/tests/forms.rs
+++ b/crates/model/tests/forms.rs
@@ -6,17 +6,18 @@
 use std::path;
 use std::time::{Duration, SystemTime};
 
+use model::acceptance;
 use model::change;
 use model::check;
 use model::document;
 use model::epoch;
 use model::fraction;
 use model::id;
+use model::member;
 use model::refusal;
 use model::resource;
 use model::revision;
 use model::route;
-use model::seat;
 use model::snapshot;
 use model::table;
 use model::verdict;
@@ -45,8 +46,9 @@
 fn stored() -> snapshot::Snapshot {
     let steps = declarations().into_iter().map(|resource| change::Step::Put { resource }).collect();
     let change = change::Change { operation: "first".to_owned(), expected: None, steps };
-    let facts = check::Facts::at(SystemTime::UNIX_EPOCH);
-    snapshot::Snapshot::default().apply(&change, &facts).expect("the declarations are accepted")
+    let facts = check::facts::Facts::at(SystemTime::UNIX_EPOCH);
+    acceptance::apply(&snapshot::Snapshot::default(), &change, &facts)
+        .expect("the declarations are accepted")
 }
 
 #[test]
@@ -112,7 +114,7 @@
     let table: table::Table = serde_json::from_str(&text).expect("it is read");
     assert_eq!(json(&table), text);
     let node = id::Node::new("dakar-0");
-    assert_eq!(table.seats[0].key, seat::Key { node, incarnation: 7 });
+    assert_eq!(table.listed[0].key, member::Key { node, incarnation: 7 });
     assert_eq!((table.epoch, table.departed[0].last), (epoch::Epoch(3), epoch::Epoch(2)));
 }
 
--- a/crates/node/tests/forms/api.rs
+++ b/crates/node/tests/forms/api.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use model::{change, evacuation, id, refusal, resource, revision};
-use node::callers::lookup;
-use node::operators::{dump, status};
-use node::stats;
-use node::store::accept;
-use node::store::client;
-use steer::report;
-use steer::ticket;
+use node::common::store::accept;
+use node::common::store::client;
+use node::owner::callers::lookup;
+use node::owner::operators::{dump, status};
+use node::owner::stats;
+use steer::ownership::report;
+use steer::ownership::ticket;
 
 use crate::fixture;
 
@@ -193,7 +193,7 @@
         revision: 1,
         epoch: 2,
         settled: 3,
-        seats: vec!["dakar-0#1".to_owned()],
+        listed: vec!["dakar-0#1".to_owned()],
         departed: vec!["dakar-1#1".to_owned()],
         members: vec![of_member()],
         upstreams: vec![of_upstream()],
--- a/crates/node/tests/forms/calls.rs
+++ b/crates/node/tests/forms/calls.rs
@@ -8,9 +8,9 @@
 use axum::response::Response;
 use bytes::Bytes;
 use model::table;
+use node::common::store::client as own;
+use node::common::store::edge::{self, Store as _};
 use node::gateway::member;
-use node::store::client as own;
-use node::store::edge::{self, Store as _};
 use platform::store::{client, error, item};
 
 use crate::fixture;
@@ -174,6 +174,6 @@
     assert!(find("GET /kv/config -").is_some() && find("GET /kv/table/dakar -").is_some());
     let call = find("PUT /kv/table/dakar?expect=0 -").expect("it was written");
     let table: table::Table = serde_json::from_slice(&call.body).expect("a table");
-    assert_eq!((table.epoch.0, table.seats.len()), (1, 1));
+    assert_eq!((table.epoch.0, table.listed.len()), (1, 1));
     assert_eq!(call.body, serde_json::to_vec(&table).expect("it can be written"));
 }
--- a/crates/node/tests/forms/headers.rs
+++ b/crates/node/tests/forms/headers.rs
@@ -6,16 +6,16 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue, Request, Response, StatusCode, request};
 use http_body_util::BodyExt as _;
-use model::endpoint;
 use model::id;
+use model::load;
 use model::routing;
 use model::verdict;
-use node::body;
-use node::callers::respond;
+use node::common::body;
+use node::common::head as node_head;
 use node::gateway::dialect::{self, Dialect, Execution};
 use node::gateway::proxy::answer::{self, Reason};
 use node::gateway::proxy::{head, relay};
-use node::head as node_head;
+use node::owner::callers::respond;
 
 use crate::fixture;
 
@@ -270,7 +270,7 @@
 
 #[test]
 fn an_upstream_s_load() {
-    let load = endpoint::Load { running: 3, waiting: 1, slots: 8 };
+    let load = load::Report { running: 3, waiting: 1, slots: 8 };
     for (dialect, name) in
         [(Dialect::Platform, "yokespoke-server-load"), (Dialect::Own, "yokespoke-load")]
     {
--- a/crates/node/tests/forms/messages.rs
+++ b/crates/node/tests/forms/messages.rs
@@ -7,22 +7,22 @@
 
 use model::epoch;
 use model::id;
+use model::member;
 use model::revision;
-use model::seat;
-use node::peers::carrier;
-use node::peers::convert;
+use model::upstream;
+use node::owner::peers::carrier;
+use node::owner::peers::convert;
 use prost::Message;
-use steer::beat;
-use steer::instance;
-use steer::split;
+use steer::common::split;
+use steer::ownership::beat;
 use wire::peer;
 use wire::peer::peer_client::PeerClient;
 
 use crate::fixture;
 use crate::stored;
 
-fn key(node: &str, incarnation: u64) -> seat::Key {
-    seat::Key { node: id::Node::new(node), incarnation }
+fn key(node: &str, incarnation: u64) -> member::Key {
+    member::Key { node: id::Node::new(node), incarnation }
 }
 
 fn member() -> beat::Member {
@@ -65,11 +65,11 @@
 }
 
 fn loan(slots: u32) -> beat::Loan {
-    let instance = instance::Key {
+    let upstream = upstream::Key {
         service: id::Service::new("catalogue"),
         upstream: id::Upstream::new("u-1"),
     };
-    beat::Loan { instance, slots, tail: Duration::from_millis(3_000) }
+    beat::Loan { upstream, slots, tail: Duration::from_millis(3_000) }
 }
 
 fn request() -> beat::Request {
--- a/crates/node/tests/forms/stored.rs
+++ b/crates/node/tests/forms/stored.rs
@@ -3,17 +3,17 @@
 use std::time::{Duration, SystemTime};
 
 use bytes::Bytes;
-use model::{cap, drain, epoch, evacuation, fraction, id, place, revision, route, seat};
+use model::{cap, drain, epoch, evacuation, fraction, id, member, place, revision, route};
 use model::{service, snapshot, table, upstream};
-use node::gateway::member;
-use node::store::accept;
-use node::store::edge;
-use steer::vms;
+use node::common::store::accept;
+use node::common::store::edge;
+use node::gateway;
+use steer::ownership::vms;
 
 use crate::fixture;
 
-fn key(node: &str, incarnation: u64) -> seat::Key {
-    seat::Key { node: id::Node::new(node), incarnation }
+fn key(node: &str, incarnation: u64) -> member::Key {
+    member::Key { node: id::Node::new(node), incarnation }
 }
 
 /// A table with every field set.
@@ -21,14 +21,14 @@
     table::Table {
         region: id::Region::new("dakar"),
         epoch: epoch::Epoch(12),
-        seats: vec![seat::Seat {
+        listed: vec![member::Listed {
             key: key("dakar-0", u64::MAX),
             hall: id::Hall::new("dakar-1"),
             peers: ([10, 1, 0, 1], 8_002).into(),
             callers: "[fd00::1]:8001".parse().expect("an address"),
             settled: epoch::Epoch(11),
         }],
-        departed: vec![seat::Departed {
+        departed: vec![member::Departed {
             key: key("dakar-1", 2),
             peers: ([10, 1, 0, 2], 8_002).into(),
             settled: epoch::Epoch(10),
@@ -172,13 +172,13 @@
         serde_json::from_slice(&fixture::read("snapshot-old.json")).expect("a configuration");
     let (routes, evacuations) = Default::default();
     assert_eq!(read, snapshot::Snapshot { routes, evacuations, ..snapshot() });
-    let read: member::Member =
+    let read: gateway::member::Member =
         serde_json::from_slice(&fixture::read("member-old.json")).expect("a member");
-    assert_eq!(read, member::Member { is_store_reached: false, ..member() });
+    assert_eq!(read, gateway::member::Member { is_store_reached: false, ..member() });
 }
 
-fn member() -> member::Member {
-    member::Member {
+fn member() -> gateway::member::Member {
+    gateway::member::Member {
         node: id::Node::new("entry-north-1"),
         incarnation: 1_790_000_000_000,
         sequence: 40,
--- a/crates/node/tests/forms_settings.rs
+++ b/crates/node/tests/forms_settings.rs
@@ -9,7 +9,7 @@
 use model::bounds;
 use model::id;
 use node::gateway::settings as gateway_settings;
-use node::settings as node_settings;
+use node::owner::settings as node_settings;
 
 fn fixture(name: &str) -> path::PathBuf {
     path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/forms").join(name)
--- a/crates/node/tests/process/forms.rs
+++ b/crates/node/tests/process/forms.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use model::refusal;
 use model::revision;
-use node::store::accept;
+use node::common::store::accept;
 use serde_json::{Value, json};
 
 use crate::rig;
