--- a/crates/node/tests/forms_logs.rs
+++ b/crates/node/tests/forms_logs.rs
@@ -7,7 +7,7 @@
 use std::path;
 
 /// Pages that list events, by path from the project's root.
-const PAGES: [&str; 2] = ["docs/OPERATIONS.md", "docs/OPERATORS.md"];
+const PAGES: [&str; 2] = ["docs/OPERATING-GATEWAYS.md", "docs/OPERATING-OWNERS.md"];
 
 /// Folders of crates whose sources log.
 const SOURCES: [&str; 2] = ["crates", "platform"];
