--- a/crates/node/tests/gateway/requests.rs
+++ b/crates/node/tests/gateway/requests.rs
@@ -63,7 +63,7 @@
     let (_rig, upstreams, gateway) = desk(1).await;
     let mut caller = gateway.caller().await;
     let forged = "GET /read/a HTTP/1.1\r\nHost: site.example\r\nYokespoke-Request-Id: id-1\r\n\
-                  Yokespoke-Target-Upstream: i-9\r\nConnection: yokespoke-request-id, x-own\r\n\
+                  Yokespoke-Target-Instance: i-9\r\nConnection: yokespoke-request-id, x-own\r\n\
                   X-Own: 1\r\nX-Other: 2\r\n\r\n";
     caller.write(forged.as_bytes()).await;
     assert_eq!(caller.read().await.status, 200);
