--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -1,13 +1,11 @@
 //! Faults that a stand-in shows on command.
 
 use std::sync::atomic;
-use std::time::Duration;
 
 /// The faults of one stand-in.
 #[derive(Debug, Default)]
 pub struct Faults {
     is_out: atomic::AtomicBool,
-    delay_ms: atomic::AtomicU64,
     lost_answers: atomic::AtomicU64,
 }
 
@@ -23,18 +21,6 @@
         self.is_out.load(atomic::Ordering::SeqCst)
     }
 
-    /// Makes every call take `delay` longer.
-    pub fn set_delay(&self, delay: Duration) {
-        let millis = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
-        self.delay_ms.store(millis, atomic::Ordering::SeqCst);
-    }
-
-    /// Returns how much longer calls take.
-    #[must_use]
-    pub fn delay(&self) -> Duration {
-        Duration::from_millis(self.delay_ms.load(atomic::Ordering::SeqCst))
-    }
-
     /// Loses the answers of the next `count` writes, after they took effect.
     pub fn lose_answers(&self, count: u64) {
         self.lost_answers.store(count, atomic::Ordering::SeqCst);
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -65,11 +65,8 @@
     ///
     /// Fails when no address can be listened on.
     pub async fn open(&self) -> io::Result<sync::Arc<door::Door>> {
-        // The port must be known before the door exists, and the door before its calls are served.
-        let reserved = tokio::net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0)).await?;
-        let address = reserved.local_addr()?;
-        drop(reserved);
-        let door = sync::Arc::new(door::Door::new(address));
+        let listener = tokio::net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0)).await?;
+        let door = sync::Arc::new(door::Door::new(listener.local_addr()?));
         let behind =
             Behind { shared: sync::Arc::clone(&self.shared), door: sync::Arc::clone(&door) };
         let router = axum::Router::new()
@@ -81,7 +78,7 @@
             .route(&format!("{}/{{lease}}", paths::END_LEASE), routing::delete(end))
             .with_state(behind);
         let refused = sync::Arc::default();
-        let server = server::Server::start(address, router, server::MANY, refused).await?;
+        let server = server::Server::serve(listener, router, server::MANY, refused)?;
         lock(&self.servers).push(server);
         Ok(door)
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -35,7 +35,20 @@
         most: usize,
         refused: sync::Arc<atomic::AtomicU64>,
     ) -> io::Result<Self> {
-        let inner = TcpListener::bind(address).await?;
+        Self::serve(TcpListener::bind(address).await?, router, most, refused)
+    }
+
+    /// Serves `router` on a listener that is bound already; the rest is as for [`Server::start`].
+    ///
+    /// # Errors
+    ///
+    /// Fails when the listener's address cannot be read.
+    pub fn serve(
+        inner: TcpListener,
+        router: Router,
+        most: usize,
+        refused: sync::Arc<atomic::AtomicU64>,
+    ) -> io::Result<Self> {
         let address = inner.local_addr()?;
         let listener = Limited { inner, permits: sync::Arc::new(Semaphore::new(most)), refused };
         let (stop, mut stopped) = watch::channel(false);
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -144,8 +144,7 @@
     }
 
     /// Shows the faults that are on; an error is the answer.
-    async fn enter(&self) -> Result<(), Answer> {
-        tokio::time::sleep(self.faults.delay()).await;
+    fn enter(&self) -> Result<(), Answer> {
         match self.faults.is_out() {
             true => {
                 self.data().counters.refused += 1;
@@ -172,7 +171,7 @@
     Path(key): Path<String>,
     Query(query): Query<GetQuery>,
 ) -> Answer {
-    if let Err(answer) = inner.enter().await {
+    if let Err(answer) = inner.enter() {
         return answer;
     }
     let Some(after) = query.after else {
@@ -207,7 +206,7 @@
     Query(query): Query<PutQuery>,
     body: bytes::Bytes,
 ) -> Answer {
-    if let Err(answer) = inner.enter().await {
+    if let Err(answer) = inner.enter() {
         return answer;
     }
     let answer = write(&inner, &key, &query, body);
@@ -238,7 +237,7 @@
 }
 
 async fn grant(State(inner): State<sync::Arc<Inner>>, Query(query): Query<LeaseQuery>) -> Answer {
-    if let Err(answer) = inner.enter().await {
+    if let Err(answer) = inner.enter() {
         return answer;
     }
     let mut data = inner.data();
@@ -254,7 +253,7 @@
     Path(id): Path<u64>,
     Query(query): Query<LeaseQuery>,
 ) -> Answer {
-    if let Err(answer) = inner.enter().await {
+    if let Err(answer) = inner.enter() {
         return answer;
     }
     let mut data = inner.data();
--- a/crates/standin/src/vms.rs
+++ b/crates/standin/src/vms.rs
@@ -89,7 +89,6 @@
 }
 
 async fn show(State((faults, list)): State<Shared>) -> Result<Json<List>, StatusCode> {
-    tokio::time::sleep(faults.delay()).await;
     match faults.is_out() {
         true => Err(StatusCode::SERVICE_UNAVAILABLE),
         false => {
