--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -90,8 +90,8 @@
     for node in &nodes {
         let leads = node.handle().look(|state| {
             let me = &state.core.me.key;
-            let mut upstreams = state.core.home.upstreams.values();
-            upstreams.any(|u| u.ledger.rights.home() == Some(me))
+            let mut upstreams = state.core.owner.upstreams.values();
+            upstreams.any(|u| u.ledger.allotment.owner() == Some(me))
         });
         is_home.push(leads.await == Some(true));
     }
@@ -252,8 +252,8 @@
             let looked = node.handle().look(|state| {
                 let core = state.core;
                 let table = core.tables.get(&core.me.region);
-                let upstreams = core.home.upstreams.values();
-                let led = upstreams.filter(|u| u.ledger.rights.home() == Some(&core.me.key));
+                let upstreams = core.owner.upstreams.values();
+                let led = upstreams.filter(|u| u.ledger.allotment.owner() == Some(&core.me.key));
                 let slots: u32 = led.map(|u| u.ledger.capacity(state.now)).sum();
                 (table.map_or(0, |t| t.listed.len()), slots, core.is_ready(state.now))
             });
--- a/crates/bench/src/scale/fleet.rs
+++ b/crates/bench/src/scale/fleet.rs
@@ -20,9 +20,9 @@
 use node::owner::peers::convert;
 use prost::Message as _;
 use steer::ownership::action;
-use steer::ownership::beat;
 use steer::ownership::core;
 use steer::ownership::event;
+use steer::ownership::heartbeat;
 
 use crate::scale;
 
@@ -46,7 +46,7 @@
 pub struct Measured {
     /// Regions of the fleet.
     pub regions: usize,
-    /// Beats and replies, sent and received.
+    /// Heartbeats and replies, sent and received.
     pub messages_per_second: f64,
     /// Their bytes.
     pub bytes_per_second: f64,
@@ -137,15 +137,17 @@
         }
     }
 
-    /// Hands an event to a node, and carries its beats to their ends at once.
-    fn tell(&mut self, node: usize, event: event::Event) -> Option<Box<beat::Reply>> {
+    /// Hands an event to a node, and carries its heartbeats to their ends at once.
+    fn tell(&mut self, node: usize, event: event::Event) -> Option<Box<heartbeat::Reply>> {
         let mut actions = Vec::new();
         self.cores[node].handle(event, self.now, &mut actions);
         let mut reply = None;
         for action in actions {
             match action {
                 action::Action::Reply { reply: answer } => reply = Some(answer),
-                action::Action::Beat { to, beat, .. } => self.exchange(node, to, *beat),
+                action::Action::Heartbeat { to, heartbeat, .. } => {
+                    self.exchange(node, to, *heartbeat)
+                }
                 action::Action::Propose { table } => self.propose(node, table),
                 _ => {}
             }
@@ -153,12 +155,12 @@
         reply
     }
 
-    fn exchange(&mut self, from: usize, to: net::SocketAddr, beat: beat::Request) {
+    fn exchange(&mut self, from: usize, to: net::SocketAddr, heartbeat: heartbeat::Request) {
         let to = node_at(to);
         self.messages += 2;
-        self.bytes += convert::beat_out(beat.clone()).encoded_len();
-        let reply = self.tell(to, event::Event::Beat { beat: Box::new(beat) });
-        let reply = reply.expect("a beat is answered");
+        self.bytes += convert::request_out(heartbeat.clone()).encoded_len();
+        let reply = self.tell(to, event::Event::Heartbeat { heartbeat: Box::new(heartbeat) });
+        let reply = reply.expect("a heartbeat is answered");
         self.bytes += convert::reply_out((*reply).clone()).encoded_len();
         let sent = self.now;
         self.tell(from, event::Event::Replied { reply, sent });
@@ -193,10 +195,10 @@
     }
 }
 
-fn member(node: usize, regions: usize) -> beat::Member {
+fn member(node: usize, regions: usize) -> heartbeat::Member {
     let at = address(node);
     let region = region(node % regions);
-    beat::Member {
+    heartbeat::Member {
         key: member::Key { node: id::Node::new(&format!("node-{node:03}")), incarnation: 1 },
         hall: id::Hall::new(&format!("{region}-{}", node / regions % 4)),
         region,
--- a/crates/cli/src/demo/fleet.rs
+++ b/crates/cli/src/demo/fleet.rs
@@ -270,8 +270,8 @@
         for node in self.nodes.values() {
             let short = node.handle().look(|state| {
                 let core = state.core;
-                let led = core.home.upstreams.values();
-                led.filter(|u| u.ledger.rights.home() == Some(&core.me.key))
+                let led = core.owner.upstreams.values();
+                led.filter(|u| u.ledger.allotment.owner() == Some(&core.me.key))
                     .any(|u| u.ledger.capacity(state.now) < u.ledger.slots)
             });
             if short.await != Some(false) {
--- a/crates/node/src/owner/callers/entry.rs
+++ b/crates/node/src/owner/callers/entry.rs
@@ -1,4 +1,4 @@
-//! Entering a request: from the caller's node to the home that runs it, and again if it may be.
+//! Entering a request: from the caller's node to the owner that runs it, and again if it may be.
 
 use std::sync;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt as _;
 use model::id;
 use model::verdict;
-use steer::ownership::beat;
+use steer::ownership::heartbeat;
 use steer::ownership::ticket;
 use wire::peer;
 
@@ -41,7 +41,7 @@
         Self { decisions, runner, carrier }
     }
 
-    /// Sends a request to the home that the decisions choose, and again while it may be; to one in
+    /// Sends a request to the owner that the decisions choose, and again while it may be; to one in
     /// `region` when that was chosen already.
     ///
     /// # Errors
@@ -60,22 +60,22 @@
         let mut so_far = verdict::Verdict::NotRun;
         loop {
             let view = self.decisions.view();
-            let (home, peers, duty) = match decision {
-                decisions::Decision::Forward { region, home, peers, may_wait } => {
+            let (owner, peers, duty) = match decision {
+                decisions::Decision::Forward { region, owner, peers, may_wait } => {
                     order.may_wait = may_wait;
                     let duty = match region == view.region {
                         true => peer::Duty::Home,
                         false => peer::Duty::Region,
                     };
-                    (home, peers, duty)
+                    (owner, peers, duty)
                 }
                 decisions::Decision::Refuse(failure) => return Err(failure),
                 decisions::Decision::Run { .. } => {
                     return Err(verdict::Failure::not_run(verdict::Reason::NotReady));
                 }
             };
-            let told = |usage| self.decisions.used(&home.node, &order.service.name, usage);
-            let result = match home == view.me {
+            let told = |usage| self.decisions.used(&owner.node, &order.service.name, usage);
+            let result = match owner == view.me {
                 true => self.run_here(&order, &mut source, told).await,
                 false => {
                     let head = head_of(&order, duty, &self.decisions);
@@ -207,7 +207,7 @@
         &self,
         order: &runner::Order,
         source: &mut body::Source,
-        told: impl Fn(beat::Use),
+        told: impl Fn(heartbeat::Usage),
     ) -> Result<Response<body::Body>, failed::Failed> {
         let slot = self.runner.reserve(order).await.inspect_err(|failed| {
             failed.usage.into_iter().for_each(&told);
@@ -236,7 +236,7 @@
     }
 }
 
-/// Keeps the request counted as out at its home until its answer has passed.
+/// Keeps the request counted as out at its owner until its answer has passed.
 fn keep_routed(answer: Response<body::Body>, routed: decisions::Routed) -> Response<body::Body> {
     answer.map(|body| {
         let held = body.map_frame(move |frame| {
--- a/crates/node/src/owner/decider.rs
+++ b/crates/node/src/owner/decider.rs
@@ -10,9 +10,9 @@
 use model::id;
 use model::revision;
 use steer::ownership::action;
-use steer::ownership::beat;
 use steer::ownership::core;
 use steer::ownership::event;
+use steer::ownership::heartbeat;
 use steer::ownership::request;
 use steer::ownership::ticket;
 use tokio::sync::oneshot;
@@ -44,7 +44,7 @@
 /// Whoever asked, and for which service's slots here, if for any.
 #[derive(Debug)]
 struct Waiting {
-    reply: oneshot::Sender<(decisions::Decision, beat::Use)>,
+    reply: oneshot::Sender<(decisions::Decision, heartbeat::Usage)>,
     offered: Option<id::Service>,
 }
 
@@ -57,7 +57,7 @@
     pub tickets: usize,
     /// Asks that wait for their decision.
     pub waiting: usize,
-    /// Beats and proposals that were dropped because a ring was full.
+    /// Heartbeats and proposals that were dropped because a ring was full.
     pub dropped: u64,
     /// The time.
     pub now: Instant,
@@ -135,8 +135,8 @@
                 self.waiting.insert(id, Waiting { reply, offered });
                 self.handle(event, now, None);
             }
-            decisions::Message::Beat(beat, reply) => {
-                self.handle(event::Event::Beat { beat }, now, Some(reply));
+            decisions::Message::Heartbeat(heartbeat, reply) => {
+                self.handle(event::Event::Heartbeat { heartbeat }, now, Some(reply));
             }
             decisions::Message::Claim(ticket, reply) => {
                 let _ = reply.send(self.tickets.claim(&ticket, now));
@@ -156,7 +156,7 @@
         &mut self,
         event: event::Event,
         now: Instant,
-        mut reply: Option<oneshot::Sender<beat::Reply>>,
+        mut reply: Option<oneshot::Sender<heartbeat::Reply>>,
     ) {
         let publishes = matches!(
             event,
@@ -179,11 +179,11 @@
         &mut self,
         action: action::Action,
         now: Instant,
-        reply: &mut Option<oneshot::Sender<beat::Reply>>,
+        reply: &mut Option<oneshot::Sender<heartbeat::Reply>>,
     ) {
         match action {
-            action::Action::Beat { to, node, beat } => {
-                self.send(decisions::Outgoing::Beat { to, node, beat, made: now });
+            action::Action::Heartbeat { to, node, heartbeat } => {
+                self.send(decisions::Outgoing::Heartbeat { to, node, heartbeat, made: now });
             }
             action::Action::Fetch { from } => self.send(decisions::Outgoing::Fetch { from }),
             action::Action::Propose { table } => {
@@ -205,7 +205,7 @@
         let Some((id, decision)) = decisions::decision(action) else { return };
         let unheard = match self.waiting.remove(&id) {
             Some(Waiting { reply, offered }) => {
-                let usage = offered.map(|service| self.core.home.use_of(&service, now));
+                let usage = offered.map(|service| self.core.owner.use_of(&service, now));
                 reply.send((decision, usage.unwrap_or_default())).err().map(|(d, _)| d)
             }
             None => Some(decision),
--- a/crates/node/src/owner/decisions.rs
+++ b/crates/node/src/owner/decisions.rs
@@ -16,9 +16,9 @@
 use model::service;
 use model::verdict;
 use steer::ownership::action;
-use steer::ownership::beat;
 use steer::ownership::core;
 use steer::ownership::event;
+use steer::ownership::heartbeat;
 use steer::ownership::request;
 use steer::ownership::ticket;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -30,18 +30,18 @@
 /// Asks that may wait for the deciding thread.
 const ASKS: usize = 4_096;
 
-/// Releases for each request that may be in flight: the home's and the entry's.
+/// Releases for each request that may be in flight: the owner's and the entry's.
 const RELEASES_PER_REQUEST: usize = 4;
 
 /// What was decided on a request.
 #[derive(Clone, Debug)]
 pub enum Decision {
-    /// Send it to this home.
+    /// Send it to this owner.
     Forward {
         /// The region.
         region: id::Region,
-        /// The home.
-        home: model::member::Key,
+        /// The owner.
+        owner: model::member::Key,
         /// Its face for peers.
         peers: std::net::SocketAddr,
         /// Whether it may wait there for a slot.
@@ -64,8 +64,8 @@
 /// What the deciding thread is told.
 pub(crate) enum Message {
     Event(event::Event),
-    Ask(event::Event, request::Id, oneshot::Sender<(Decision, beat::Use)>),
-    Beat(Box<beat::Request>, oneshot::Sender<beat::Reply>),
+    Ask(event::Event, request::Id, oneshot::Sender<(Decision, heartbeat::Usage)>),
+    Heartbeat(Box<heartbeat::Request>, oneshot::Sender<heartbeat::Reply>),
     Claim(ticket::Ticket, oneshot::Sender<ticket::Claim<answer::Answer>>),
     Finish(ticket::Ticket, ticket::Outcome<answer::Answer>),
     Look(Look),
@@ -74,7 +74,7 @@
 /// Where the deciding thread sends what others must do.
 #[derive(Debug)]
 pub struct Outputs {
-    /// Beats and fetches, for the peers' duty; dropped and counted when full, as the next beat
+    /// Heartbeats and fetches, for the peers' duty; dropped and counted when full, as the next heartbeat
     /// makes up for them.
     pub peers: mpsc::Sender<Outgoing>,
     /// Tables to propose, for the store's duty; dropped when full, as they are proposed again.
@@ -86,14 +86,14 @@
 /// Something for the peers' duty to send.
 #[derive(Debug)]
 pub enum Outgoing {
-    /// A beat.
-    Beat {
+    /// A heartbeat.
+    Heartbeat {
         /// Where to.
         to: std::net::SocketAddr,
         /// The node expected there.
         node: Option<id::Node>,
-        /// The beat.
-        beat: Box<beat::Request>,
+        /// The heartbeat.
+        heartbeat: Box<heartbeat::Request>,
         /// When it was made.
         made: Instant,
     },
@@ -195,7 +195,7 @@
         self.issuer.issue(self.clock.now(), rand::random())
     }
 
-    /// Routes a request to a home, in `region` when that was chosen already.
+    /// Routes a request to an owner, in `region` when that was chosen already.
     pub async fn route(
         &self,
         service: id::Service,
@@ -212,14 +212,14 @@
     pub async fn offer(
         &self,
         offer: impl FnOnce(request::Id) -> request::Offer,
-    ) -> (Offered, Decision, beat::Use) {
+    ) -> (Offered, Decision, heartbeat::Usage) {
         let id = self.next_id();
         let mut offered = Offered { id, handle: self.clone(), state: Held::Waiting };
         let over = self.in_flight.fetch_add(1, atomic::Ordering::Relaxed) >= self.most;
         if over {
             self.refused.fetch_add(1, atomic::Ordering::Relaxed);
             offered.state = Held::Nothing;
-            return (offered, Decision::Refuse(busy()), beat::Use::default());
+            return (offered, Decision::Refuse(busy()), heartbeat::Usage::default());
         }
         let (decision, usage) = self.ask(event::Event::Offer { offer: offer(id) }, id).await;
         offered.state = match &decision {
@@ -229,10 +229,10 @@
         (offered, decision, usage)
     }
 
-    /// Answers a peer's beat.
-    pub async fn beat(&self, beat: beat::Request) -> Option<beat::Reply> {
+    /// Answers a peer's heartbeat.
+    pub async fn heartbeat(&self, heartbeat: heartbeat::Request) -> Option<heartbeat::Reply> {
         let (reply, answer) = oneshot::channel();
-        self.asks.try_send(Message::Beat(Box::new(beat), reply)).ok()?;
+        self.asks.try_send(Message::Heartbeat(Box::new(heartbeat), reply)).ok()?;
         answer.await.ok()
     }
 
@@ -256,11 +256,11 @@
         self.asks.try_send(Message::Event(event)).is_ok()
     }
 
-    /// Tells how much of its slots a service uses at a home; lost when the ring is full, as the
+    /// Tells how much of its slots a service uses at an owner; lost when the ring is full, as the
     /// next answer tells it again.
-    pub fn used(&self, home: &id::Node, service: &id::Service, usage: beat::Use) {
-        let (home, service) = (home.clone(), service.clone());
-        let _ = self.tell(event::Event::Used { home, service, usage });
+    pub fn used(&self, owner: &id::Node, service: &id::Service, usage: heartbeat::Usage) {
+        let (owner, service) = (owner.clone(), service.clone());
+        let _ = self.tell(event::Event::Used { owner, service, usage });
     }
 
     /// Looks at the decisions' state from their own thread.
@@ -287,13 +287,13 @@
         request::Id(self.next.fetch_add(1, atomic::Ordering::Relaxed))
     }
 
-    async fn ask(&self, event: event::Event, id: request::Id) -> (Decision, beat::Use) {
+    async fn ask(&self, event: event::Event, id: request::Id) -> (Decision, heartbeat::Usage) {
         let (reply, answer) = oneshot::channel();
         if self.asks.try_send(Message::Ask(event, id, reply)).is_err() {
             self.refused.fetch_add(1, atomic::Ordering::Relaxed);
-            return (Decision::Refuse(busy()), beat::Use::default());
+            return (Decision::Refuse(busy()), heartbeat::Usage::default());
         }
-        answer.await.unwrap_or_else(|_| (Decision::Refuse(busy()), beat::Use::default()))
+        answer.await.unwrap_or_else(|_| (Decision::Refuse(busy()), heartbeat::Usage::default()))
     }
 
     fn release(&self, message: Message) {
@@ -331,7 +331,7 @@
     }
 }
 
-/// What an offered request holds at its home.
+/// What an offered request holds at its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Held {
     Nothing,
@@ -339,7 +339,7 @@
     Slot,
 }
 
-/// A request that was offered to this home; dropping it gives back what it holds.
+/// A request that was offered to this owner; dropping it gives back what it holds.
 #[derive(Debug)]
 pub struct Offered {
     id: request::Id,
@@ -391,8 +391,8 @@
 /// Turns an action that answers an ask into a decision.
 pub(crate) fn decision(action: action::Action) -> Option<(request::Id, Decision)> {
     match action {
-        action::Action::Forward { request, region, home, peers, may_wait } => {
-            Some((request, Decision::Forward { region, home, peers, may_wait }))
+        action::Action::Forward { request, region, owner, peers, may_wait } => {
+            Some((request, Decision::Forward { region, owner, peers, may_wait }))
         }
         action::Action::Run { request, upstream, address } => {
             Some((request, Decision::Run { upstream, address }))
--- a/crates/node/src/owner/failed.rs
+++ b/crates/node/src/owner/failed.rs
@@ -2,7 +2,7 @@
 
 use model::id;
 use model::verdict;
-use steer::ownership::beat;
+use steer::ownership::heartbeat;
 
 /// How one try failed.
 #[derive(Clone, Debug)]
@@ -11,8 +11,8 @@
     pub failure: verdict::Failure,
     /// The upstream that was asked, if one was.
     pub upstream: Option<id::Upstream>,
-    /// How much of its slots the service uses at the home that refused, if it told.
-    pub usage: Option<beat::Use>,
+    /// How much of its slots the service uses at the owner that refused, if it told.
+    pub usage: Option<heartbeat::Usage>,
 }
 
 impl Failed {
--- a/crates/node/src/owner/node.rs
+++ b/crates/node/src/owner/node.rs
@@ -9,9 +9,9 @@
 use model::epoch;
 use model::member;
 use model::revision;
-use steer::ownership::beat;
 use steer::ownership::core;
 use steer::ownership::event;
+use steer::ownership::heartbeat;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
@@ -29,7 +29,7 @@
 use crate::owner::store::vmlist;
 use crate::owner::view;
 
-/// Beats and fetches that wait for the peers' duty.
+/// Heartbeats and fetches that wait for the peers' duty.
 const OUTGOING: usize = 256;
 
 /// Tables that wait for the store's duty.
@@ -98,7 +98,7 @@
         &self.handle
     }
 
-    /// Stops as planned: leaves look-ups, hands its homes over, finishes all it has, and ends.
+    /// Stops as planned: leaves look-ups, hands its upstreams over, finishes all it has, and ends.
     ///
     /// Returns how long it took, and whether everything had ended in time.
     pub async fn stop(mut self) -> (Duration, bool) {
@@ -144,11 +144,11 @@
     settings: &settings::Settings,
     listen: &settings::Listen,
     clock: &dyn clock::Clock,
-) -> beat::Member {
+) -> heartbeat::Member {
     let since = clock.wall().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     // Grows with each start, so that a newer incarnation is known as such.
     let incarnation = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
-    beat::Member {
+    heartbeat::Member {
         key: member::Key { node: settings.node.clone(), incarnation },
         region: settings.region.clone(),
         hall: settings.hall.clone(),
@@ -196,7 +196,7 @@
             decisions: handle.clone(),
         };
         let serve = peers::face::serve(face, listener);
-        let send = peers::beats::run(handle, to_send);
+        let send = peers::heartbeats::run(handle, to_send);
         let (served, ()) = tokio::join!(serve, send);
         if let Err(error) = served {
             let error = error.to_string();
--- a/crates/node/src/owner/operators/dump.rs
+++ b/crates/node/src/owner/operators/dump.rs
@@ -76,16 +76,19 @@
 pub struct Upstream {
     /// The service and the upstream.
     pub upstream: String,
-    /// Its home.
-    pub home: Option<String>,
+    /// Its owner.
+    #[serde(rename = "home")]
+    pub owner: Option<String>,
     /// Slots it has.
     pub slots: u32,
     /// Slots this node may use by itself.
     pub usable: u32,
-    /// Slots that others lent to this node.
-    pub borrowed: u32,
-    /// Slots that this node lent.
-    pub lent: u32,
+    /// Slots that others granted to this node.
+    #[serde(rename = "borrowed")]
+    pub held: u32,
+    /// Slots that this node granted.
+    #[serde(rename = "lent")]
+    pub granted: u32,
     /// Slots that new work may use now.
     pub limit: u32,
     /// Slots in use.
@@ -127,9 +130,9 @@
 /// Requests in this process.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Requests {
-    /// Out at homes.
+    /// Out at owners.
     pub routed: usize,
-    /// Running or waiting at this home.
+    /// Running or waiting at this owner.
     pub at_home: usize,
     /// Waiting for a decision.
     pub undecided: usize,
@@ -141,7 +144,7 @@
     pub releases: usize,
     /// Asks refused because a bound was reached.
     pub refused: u64,
-    /// Beats and proposals dropped because a ring was full.
+    /// Heartbeats and proposals dropped because a ring was full.
     pub dropped: u64,
 }
 
@@ -177,7 +180,7 @@
             splits: splits(core),
             requests: Requests {
                 routed: core.router.load(),
-                at_home: core.home.load(),
+                at_home: core.owner.load(),
                 undecided: state.waiting,
                 tickets: state.tickets,
                 asks: pressure.0,
@@ -209,23 +212,23 @@
     let upstream =
         |(key, u): (&model::upstream::Key, &steer::ownership::owned::Upstream)| Upstream {
             upstream: key.to_string(),
-            home: u.ledger.rights.home().map(ToString::to_string),
+            owner: u.ledger.allotment.owner().map(ToString::to_string),
             slots: u.ledger.slots,
-            usable: u.ledger.rights.usable,
-            borrowed: u.ledger.borrowed_slots(now),
-            lent: u.ledger.lent_slots(now),
+            usable: u.ledger.allotment.usable,
+            held: u.ledger.held_slots(now),
+            granted: u.ledger.granted_slots(now),
             limit: u.limit(now),
             in_flight: u.ledger.in_flight(),
             is_drained: u.is_drained,
             is_usable: u.health.is_usable(now),
-            usual_ms: u.warmth.usual().map(|seconds| seconds * 1_000.0),
+            usual_ms: u.slow_start.usual().map(|seconds| seconds * 1_000.0),
         };
-    core.home.upstreams.iter().map(upstream).collect()
+    core.owner.upstreams.iter().map(upstream).collect()
 }
 
 fn services(core: &steer::ownership::core::Core, now: Instant) -> Vec<Service> {
     let service = |(name, measured): (id::Service, steer::ownership::router::Measured)| Service {
-        queued: core.home.queue_len(&name),
+        queued: core.owner.queue_len(&name),
         service: name,
         capacities: measured.capacities,
         in_use: measured.in_use,
@@ -236,7 +239,7 @@
 
 fn splits(core: &steer::ownership::core::Core) -> Vec<Split> {
     let per_cent = |share: u32| f64::from(share) / 10_000.0;
-    let split = |position: steer::ownership::beat::Position| Split {
+    let split = |position: steer::ownership::heartbeat::Position| Split {
         shares: position.split.parts().map(|(r, s)| (r.clone(), per_cent(s))).collect(),
         service: position.service,
         place: position.place,
--- a/crates/node/src/owner/peers/carrier.rs
+++ b/crates/node/src/owner/peers/carrier.rs
@@ -1,4 +1,4 @@
-//! Carrying a request to its home on another node, and its answer back.
+//! Carrying a request to its owner on another node, and its answer back.
 
 use std::io;
 use std::net;
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt as _, StreamBody};
 use model::id;
 use model::verdict;
-use steer::ownership::beat;
+use steer::ownership::heartbeat;
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 use wire::peer;
@@ -26,7 +26,7 @@
 /// Largest part of a body in one message, in bytes.
 pub const LARGEST_PART: usize = 256 * 1_024;
 
-/// Time beyond a request's deadline in which its home's own verdict may still arrive.
+/// Time beyond a request's deadline in which its owner's own verdict may still arrive.
 const VERDICT_GRACE: Duration = Duration::from_millis(250);
 
 /// Carries requests over links.
@@ -43,9 +43,9 @@
     }
 
     /// Carries a request to the node at `address`. A kept body goes at once; a streamed one when
-    /// the home holds a slot, so that it can go elsewhere when there is none.
+    /// the owner holds a slot, so that it can go elsewhere when there is none.
     ///
-    /// `told` hears how much of its slots the service uses at the home.
+    /// `told` hears how much of its slots the service uses at the owner.
     ///
     /// # Errors
     ///
@@ -55,7 +55,7 @@
         address: net::SocketAddr,
         head: peer::RequestHead,
         source: &mut body::Source,
-        told: impl Fn(beat::Use),
+        told: impl Fn(heartbeat::Usage),
     ) -> Result<Response<body::Body>, failed::Failed> {
         let left = Duration::from_millis(head.remaining_ms) + VERDICT_GRACE;
         match tokio::time::timeout(left, self.exchange(address, head, source, told)).await {
@@ -71,7 +71,7 @@
         address: net::SocketAddr,
         head: peer::RequestHead,
         source: &mut body::Source,
-        told: impl Fn(beat::Use),
+        told: impl Fn(heartbeat::Usage),
     ) -> Result<Response<body::Body>, failed::Failed> {
         let Ok(mut client) = self.links.client(address).await else {
             return Err(unreached());
@@ -149,7 +149,7 @@
     }
 }
 
-/// Sends a streamed body. One that breaks off is left without its end, so that the home sees it.
+/// Sends a streamed body. One that breaks off is left without its end, so that the owner sees it.
 async fn send_body(mut body: body::Body, parts: mpsc::Sender<peer::Upload>) {
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return };
--- a/crates/node/src/owner/peers/convert.rs
+++ b/crates/node/src/owner/peers/convert.rs
@@ -1,4 +1,4 @@
-//! Between the decisions' beats and the messages that carry them.
+//! Between the decisions' heartbeats and the messages that carry them.
 
 use std::sync;
 use std::time::Duration;
@@ -10,50 +10,50 @@
 use model::table;
 use model::upstream;
 use steer::common::split;
-use steer::ownership::beat;
+use steer::ownership::heartbeat;
 use wire::peer;
 
-/// Returns a beat as its message.
+/// Returns a heartbeat as its message.
 #[must_use]
-pub fn beat_out(beat: beat::Request) -> peer::BeatRequest {
+pub fn request_out(heartbeat: heartbeat::Request) -> peer::BeatRequest {
     peer::BeatRequest {
-        sender: Some(member_out(&beat.sender)),
-        news: Some(news_out(beat.news)),
-        epochs: beat
+        sender: Some(member_out(&heartbeat.sender)),
+        news: Some(update_out(heartbeat.update)),
+        epochs: heartbeat
             .epochs
             .into_iter()
             .map(|(region, epoch)| peer::Known { region: text(region.as_str()), epoch: epoch.0 })
             .collect(),
-        borrows: beat.borrows,
-        held: beat.held.iter().map(loan_out).collect(),
-        wants_positions: beat.wants_positions,
+        borrows: heartbeat.wants_leases,
+        held: heartbeat.held.iter().map(lease_out).collect(),
+        wants_positions: heartbeat.wants_positions,
     }
 }
 
-/// Returns the beat of a message; none when a field is missing or malformed.
+/// Returns the heartbeat of a message; none when a field is missing or malformed.
 #[must_use]
-pub fn beat_in(message: peer::BeatRequest) -> Option<beat::Request> {
-    Some(beat::Request {
+pub fn request_in(message: peer::BeatRequest) -> Option<heartbeat::Request> {
+    Some(heartbeat::Request {
         sender: member_in(&message.sender?)?,
-        news: news_in(&message.news.unwrap_or_default()),
+        update: update_in(&message.news.unwrap_or_default()),
         epochs: message
             .epochs
             .iter()
             .map(|known| (id::Region::new(&known.region), epoch::Epoch(known.epoch)))
             .collect(),
-        borrows: message.borrows,
-        held: message.held.iter().map(loan_in).collect(),
+        wants_leases: message.borrows,
+        held: message.held.iter().map(lease_in).collect(),
         wants_positions: message.wants_positions,
     })
 }
 
 /// Returns a reply as its message.
 #[must_use]
-pub fn reply_out(reply: beat::Reply) -> peer::BeatReply {
+pub fn reply_out(reply: heartbeat::Reply) -> peer::BeatReply {
     peer::BeatReply {
         sender: Some(member_out(&reply.sender)),
-        news: Some(news_out(reply.news)),
-        loans: reply.loans.iter().map(loan_out).collect(),
+        news: Some(update_out(reply.update)),
+        loans: reply.leases.iter().map(lease_out).collect(),
         term_ms: millis(reply.term),
         positions: reply.positions.iter().map(position_out).collect(),
     }
@@ -61,29 +61,29 @@
 
 /// Returns the reply of a message; none when a field is missing or malformed.
 #[must_use]
-pub fn reply_in(message: peer::BeatReply) -> Option<beat::Reply> {
-    Some(beat::Reply {
+pub fn reply_in(message: peer::BeatReply) -> Option<heartbeat::Reply> {
+    Some(heartbeat::Reply {
         sender: member_in(&message.sender?)?,
-        news: news_in(&message.news.unwrap_or_default()),
-        loans: message.loans.iter().map(loan_in).collect(),
+        update: update_in(&message.news.unwrap_or_default()),
+        leases: message.loans.iter().map(lease_in).collect(),
         term: Duration::from_millis(message.term_ms),
         positions: message.positions.iter().map(position_in).collect(),
     })
 }
 
-/// Returns a home's use of its slots as its message.
+/// Returns an owner's use of its slots as its message.
 #[must_use]
-pub fn usage_out(usage: beat::Use) -> peer::Usage {
+pub fn usage_out(usage: heartbeat::Usage) -> peer::Usage {
     peer::Usage { busy: usage.busy, usable: usage.usable }
 }
 
 /// Returns the use of a message.
 #[must_use]
-pub fn usage_in(usage: peer::Usage) -> beat::Use {
-    beat::Use { busy: usage.busy, usable: usage.usable }
+pub fn usage_in(usage: peer::Usage) -> heartbeat::Usage {
+    heartbeat::Usage { busy: usage.busy, usable: usage.usable }
 }
 
-fn member_out(member: &beat::Member) -> peer::Member {
+fn member_out(member: &heartbeat::Member) -> peer::Member {
     peer::Member {
         name: text(member.key.node.as_str()),
         incarnation: member.key.incarnation,
@@ -100,8 +100,8 @@
     }
 }
 
-fn member_in(member: &peer::Member) -> Option<beat::Member> {
-    Some(beat::Member {
+fn member_in(member: &peer::Member) -> Option<heartbeat::Member> {
+    Some(heartbeat::Member {
         key: member::Key { node: id::Node::new(&member.name), incarnation: member.incarnation },
         region: id::Region::new(&member.region),
         hall: id::Hall::new(&member.hall),
@@ -116,40 +116,42 @@
     })
 }
 
-fn news_out(news: beat::News) -> peer::News {
+fn update_out(update: heartbeat::Update) -> peer::News {
     let table = |table: &sync::Arc<table::Table>| serde_json::to_vec(&**table).ok();
-    let pulse = |pulse: beat::Pulse| peer::Pulse {
-        name: text(pulse.key.node.as_str()),
-        incarnation: pulse.key.incarnation,
-        sequence: pulse.sequence,
+    let liveness = |liveness: heartbeat::Liveness| peer::Pulse {
+        name: text(liveness.key.node.as_str()),
+        incarnation: liveness.key.incarnation,
+        sequence: liveness.sequence,
     };
     peer::News {
-        members: news.members.iter().map(member_out).collect(),
-        pulses: news.pulses.into_iter().map(pulse).collect(),
-        summaries: news.summaries.into_iter().map(summary_out).collect(),
-        regions: news.regions.into_iter().map(summary_out).collect(),
-        tables: news.tables.iter().filter_map(table).collect(),
+        members: update.members.iter().map(member_out).collect(),
+        pulses: update.liveness.into_iter().map(liveness).collect(),
+        summaries: update.summaries.into_iter().map(summary_out).collect(),
+        regions: update.regions.into_iter().map(summary_out).collect(),
+        tables: update.tables.iter().filter_map(table).collect(),
     }
 }
 
-/// Returns the news of a message. What is malformed is passed over, so that one bad entry that
-/// came by way of others does not silence a peer.
-fn news_in(news: &peer::News) -> beat::News {
+/// Returns the update of a message.
+///
+/// Malformed entries are skipped: they may have come by way of a third node, and dropping the
+/// whole message would make the sender look dead.
+fn update_in(news: &peer::News) -> heartbeat::Update {
     let table = |bytes: &Vec<u8>| serde_json::from_slice(bytes).ok().map(sync::Arc::new);
-    let pulse = |pulse: &peer::Pulse| beat::Pulse {
-        key: member::Key { node: id::Node::new(&pulse.name), incarnation: pulse.incarnation },
-        sequence: pulse.sequence,
+    let liveness = |liveness: &peer::Pulse| heartbeat::Liveness {
+        key: member::Key { node: id::Node::new(&liveness.name), incarnation: liveness.incarnation },
+        sequence: liveness.sequence,
     };
-    beat::News {
+    heartbeat::Update {
         members: news.members.iter().filter_map(member_in).collect(),
-        pulses: news.pulses.iter().map(pulse).collect(),
+        liveness: news.pulses.iter().map(liveness).collect(),
         summaries: news.summaries.iter().map(summary_in).collect(),
         regions: news.regions.iter().map(summary_in).collect(),
         tables: news.tables.iter().filter_map(table).collect(),
     }
 }
 
-fn summary_out(summary: beat::Summary) -> peer::Summary {
+fn summary_out(summary: heartbeat::Summary) -> peer::Summary {
     let rate = |(place, rate): (id::Place, u32)| peer::Rate {
         place: text(place.as_str()),
         thousandths: rate,
@@ -167,9 +169,9 @@
     }
 }
 
-fn summary_in(summary: &peer::Summary) -> beat::Summary {
+fn summary_in(summary: &peer::Summary) -> heartbeat::Summary {
     let rate = |rate: &peer::Rate| (id::Place::new(&rate.place), rate.thousandths);
-    beat::Summary {
+    heartbeat::Summary {
         key: member::Key { node: id::Node::new(&summary.node), incarnation: summary.incarnation },
         region: id::Region::new(&summary.region),
         service: id::Service::new(&summary.service),
@@ -181,24 +183,24 @@
     }
 }
 
-fn loan_out(loan: &beat::Loan) -> peer::Loan {
+fn lease_out(lease: &heartbeat::Lease) -> peer::Loan {
     peer::Loan {
-        service: text(loan.upstream.service.as_str()),
-        upstream: text(loan.upstream.upstream.as_str()),
-        slots: loan.slots,
-        tail_ms: millis(loan.tail),
+        service: text(lease.upstream.service.as_str()),
+        upstream: text(lease.upstream.upstream.as_str()),
+        slots: lease.slots,
+        tail_ms: millis(lease.tail),
     }
 }
 
-fn loan_in(loan: &peer::Loan) -> beat::Loan {
+fn lease_in(lease: &peer::Loan) -> heartbeat::Lease {
     let upstream = upstream::Key {
-        service: id::Service::new(&loan.service),
-        upstream: id::Upstream::new(&loan.upstream),
+        service: id::Service::new(&lease.service),
+        upstream: id::Upstream::new(&lease.upstream),
     };
-    beat::Loan { upstream, slots: loan.slots, tail: Duration::from_millis(loan.tail_ms) }
+    heartbeat::Lease { upstream, slots: lease.slots, tail: Duration::from_millis(lease.tail_ms) }
 }
 
-fn position_out(position: &beat::Position) -> peer::Position {
+fn position_out(position: &heartbeat::Position) -> peer::Position {
     let parts = position.split.parts();
     let part =
         |(region, share): (&id::Region, u32)| peer::Part { region: text(region.as_str()), share };
@@ -209,9 +211,9 @@
     }
 }
 
-fn position_in(position: &peer::Position) -> beat::Position {
+fn position_in(position: &peer::Position) -> heartbeat::Position {
     let parts = position.parts.iter().map(|p| (id::Region::new(&p.region), p.share)).collect();
-    beat::Position {
+    heartbeat::Position {
         service: id::Service::new(&position.service),
         place: id::Place::new(&position.place),
         split: split::Split::from_parts(parts),
--- a/crates/node/src/owner/peers/face.rs
+++ b/crates/node/src/owner/peers/face.rs
@@ -42,7 +42,7 @@
 pub struct Face {
     /// The decisions.
     pub decisions: decisions::Handle,
-    /// Runs requests at upstreams of this home.
+    /// Runs requests at upstreams of this owner.
     pub runner: runner::Runner,
     /// Enters requests whose ticket this node issued.
     pub entry: entry::Entry,
@@ -93,9 +93,9 @@
         &self,
         request: Request<peer::BeatRequest>,
     ) -> Result<tonic::Response<peer::BeatReply>, Status> {
-        let beat = convert::beat_in(request.into_inner())
-            .ok_or_else(|| Status::invalid_argument("the beat is malformed"))?;
-        let reply = self.decisions.beat(beat).await;
+        let heartbeat = convert::request_in(request.into_inner())
+            .ok_or_else(|| Status::invalid_argument("the heartbeat is malformed"))?;
+        let reply = self.decisions.heartbeat(heartbeat).await;
         let reply = reply.ok_or_else(|| Status::resource_exhausted("the node is busy"))?;
         Ok(tonic::Response::new(convert::reply_out(reply)))
     }
@@ -120,7 +120,7 @@
         let first = upload.message().await.ok().flatten().and_then(|upload| upload.part);
         let result = match first {
             Some(peer::upload::Part::Head(head)) => match head.duty() {
-                peer::Duty::Home => self.run_at_home(head, upload, &parts).await,
+                peer::Duty::Home => self.run_as_owner(head, upload, &parts).await,
                 peer::Duty::Region => self.run_in_region(head, upload, &parts).await,
                 peer::Duty::Ticket => self.run_ticket(head, upload).await,
                 peer::Duty::Unspecified => Err(malformed()),
@@ -135,7 +135,7 @@
         }
     }
 
-    async fn run_at_home(
+    async fn run_as_owner(
         &self,
         head: peer::RequestHead,
         upload: Streaming<peer::Upload>,
@@ -151,7 +151,7 @@
         self.runner.run(slot, &order, upload_body(upload, None)).await
     }
 
-    /// Finds a home in this region. The body is asked for when the home wants it.
+    /// Finds an owner in this region. The body is asked for when the owner wants it.
     async fn run_in_region(
         &self,
         head: peer::RequestHead,
--- a/crates/node/src/owner/peers/beats.rs
+++ b/crates/node/src/owner/peers/heartbeats.rs
@@ -1,12 +1,12 @@
-//! Sending beats and fetching configurations, as the decisions ask.
+//! Sending heartbeats and fetching configurations, as the decisions ask.
 
 use std::net;
 use std::sync;
 use std::time::{Duration, Instant};
 
 use model::id;
-use steer::ownership::beat;
 use steer::ownership::event;
+use steer::ownership::heartbeat;
 use tokio::sync::{Semaphore, mpsc};
 use wire::peer;
 
@@ -15,8 +15,8 @@
 use crate::owner::peers::face;
 use crate::owner::peers::links;
 
-/// Time for an answer to a beat.
-const BEAT_TIME: Duration = Duration::from_secs(1);
+/// Time for an answer to a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time for an answer to a fetch.
 const FETCH_TIME: Duration = Duration::from_secs(3);
@@ -33,8 +33,8 @@
         let (decisions, links) = (decisions.clone(), links.clone());
         tokio::spawn(async move {
             match next {
-                decisions::Outgoing::Beat { to, node, beat, made } => {
-                    send(&decisions, &links, to, node, *beat, made).await;
+                decisions::Outgoing::Heartbeat { to, node, heartbeat, made } => {
+                    send(&decisions, &links, to, node, *heartbeat, made).await;
                 }
                 decisions::Outgoing::Fetch { from } => fetch(&decisions, &links, from).await,
             }
@@ -48,15 +48,15 @@
     links: &links::Links,
     to: net::SocketAddr,
     node: Option<id::Node>,
-    beat: beat::Request,
+    heartbeat: heartbeat::Request,
     made: Instant,
 ) {
     let call = async {
         let mut client = links.client(to).await.ok()?;
-        let reply = client.beat(convert::beat_out(beat)).await.ok()?;
+        let reply = client.beat(convert::request_out(heartbeat)).await.ok()?;
         convert::reply_in(reply.into_inner())
     };
-    let reply = tokio::time::timeout(BEAT_TIME, call).await.ok().flatten();
+    let reply = tokio::time::timeout(HEARTBEAT_TIMEOUT, call).await.ok().flatten();
     let event = match (reply, node) {
         (Some(reply), _) => event::Event::Replied { reply: Box::new(reply), sent: made },
         (None, Some(node)) => {
--- a/crates/node/src/owner/peers/mod.rs
+++ b/crates/node/src/owner/peers/mod.rs
@@ -1,7 +1,7 @@
-//! The peers' face: beats, configurations and requests between nodes.
+//! The peers' face: heartbeats, configurations and requests between nodes.
 
-pub mod beats;
 pub mod carrier;
 pub mod convert;
 pub mod face;
+pub mod heartbeats;
 pub mod links;
--- a/crates/node/src/owner/probes.rs
+++ b/crates/node/src/owner/probes.rs
@@ -31,7 +31,7 @@
 
 type Http = legacy::Client<HttpConnector, Empty<Bytes>>;
 
-/// Probes for ever, each upstream that this node is home of or stands in for.
+/// Probes for ever, each upstream that this node is owner of or stands in for.
 pub async fn run(decisions: decisions::Handle) {
     let http: Http =
         legacy::Client::builder(rt::TokioExecutor::new()).pool_max_idle_per_host(1).build_http();
@@ -59,9 +59,10 @@
 fn ranked(
     core: &steer::ownership::core::Core,
 ) -> collections::BTreeMap<upstream::Key, net::SocketAddr> {
-    let upstreams = core.home.upstreams.iter();
-    let home = |u: &steer::ownership::owned::Upstream| u.ledger.rights.home() == Some(&core.me.key);
-    let used = upstreams.filter(|(_, u)| home(u) || u.ledger.in_flight() > 0);
+    let upstreams = core.owner.upstreams.iter();
+    let owner =
+        |u: &steer::ownership::owned::Upstream| u.ledger.allotment.owner() == Some(&core.me.key);
+    let used = upstreams.filter(|(_, u)| owner(u) || u.ledger.in_flight() > 0);
     used.map(|(key, u)| (key.clone(), u.address)).collect()
 }
 
--- a/crates/node/src/owner/runner.rs
+++ b/crates/node/src/owner/runner.rs
@@ -1,4 +1,4 @@
-//! Running a request at an upstream of this home, in a slot that the decisions gave.
+//! Running a request at an upstream of this owner, in a slot that the decisions gave.
 
 use std::future::Future as _;
 use std::io;
@@ -17,7 +17,7 @@
 use model::id;
 use model::service;
 use model::verdict;
-use steer::ownership::beat;
+use steer::ownership::heartbeat;
 use steer::ownership::request;
 
 use crate::common::body;
@@ -51,7 +51,7 @@
     pub deadline: Instant,
     /// Upstreams that earlier tries used.
     pub avoid: Vec<id::Upstream>,
-    /// Whether it may wait for a slot at the home it is sent to.
+    /// Whether it may wait for a slot at the owner it is sent to.
     pub may_wait: bool,
 }
 
@@ -68,7 +68,7 @@
     /// The upstream.
     pub upstream: id::Upstream,
     /// How much of its slots the service uses here.
-    pub usage: beat::Use,
+    pub usage: heartbeat::Usage,
     address: std::net::SocketAddr,
     offered: decisions::Offered,
 }
--- a/crates/steer/src/ownership/action.rs
+++ b/crates/steer/src/ownership/action.rs
@@ -8,21 +8,21 @@
 use model::table;
 use model::verdict;
 
-use crate::ownership::beat;
+use crate::ownership::heartbeat;
 use crate::ownership::request;
 
 /// Something to do.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a routed request to the home that was chosen.
+    /// Send a routed request to the owner that was chosen.
     Forward {
         /// The request.
         request: request::Id,
         /// The region its split chose.
         region: id::Region,
-        /// The home; this node itself when it is one.
-        home: member::Key,
-        /// The home's face for peers.
+        /// The owner; this node itself when it is one.
+        owner: member::Key,
+        /// The owner's face for peers.
         peers: net::SocketAddr,
         /// Whether the request may wait there for a slot.
         may_wait: bool,
@@ -43,19 +43,19 @@
         /// Why.
         failure: verdict::Failure,
     },
-    /// Send a beat, and give its reply back as an event.
-    Beat {
+    /// Send a heartbeat, and give its reply back as an event.
+    Heartbeat {
         /// Where to.
         to: net::SocketAddr,
         /// The node expected there; none for a seed.
         node: Option<id::Node>,
-        /// The beat.
-        beat: Box<beat::Request>,
+        /// The heartbeat.
+        heartbeat: Box<heartbeat::Request>,
     },
-    /// Answer the beat that was handed in with the same event.
+    /// Answer the heartbeat that was handed in with the same event.
     Reply {
         /// The answer.
-        reply: Box<beat::Reply>,
+        reply: Box<heartbeat::Reply>,
     },
     /// Fetch the newer configuration that a peer has.
     Fetch {
--- a/crates/steer/src/ownership/rights.rs
+++ b/crates/steer/src/ownership/allotment.rs
@@ -1,4 +1,4 @@
-//! Rights: how many slots of an upstream a node may use by itself, whatever others believe.
+//! Allotment: how many slots of an upstream a node may use by itself, whatever others believe.
 //!
 //! Let `W` be the epochs from the lowest that any listed node may still act on up to the newest
 //! that this node knows. Two rules, of which the more generous holds:
@@ -16,36 +16,36 @@
 use model::member;
 use model::table;
 
-use crate::ownership::rank;
+use crate::ownership::rendezvous;
 use crate::ownership::share;
 use model::upstream;
 
 /// Shares of one upstream over the epochs that still count.
 #[derive(Clone, Debug)]
-pub struct Rights {
+pub struct Allotment {
     /// This node's share in the newest epoch.
     pub share: u32,
     /// Slots this node may use.
     pub usable: u32,
-    /// The nodes that hold shares in the newest epoch, the home first.
+    /// The nodes that hold shares in the newest epoch, the owner first.
     pub ranked: Vec<member::Key>,
 }
 
-impl Rights {
-    /// Returns the rights of a node that knows no table.
+impl Allotment {
+    /// Returns the allotment of a node that knows no table.
     #[must_use]
     pub fn none() -> Self {
         Self { share: 0, usable: 0, ranked: Vec::new() }
     }
 
-    /// Returns the home in the newest epoch.
+    /// Returns the owner in the newest epoch.
     #[must_use]
-    pub fn home(&self) -> Option<&member::Key> {
+    pub fn owner(&self) -> Option<&member::Key> {
         self.ranked.first()
     }
 }
 
-/// Computes the rights of `me` at an upstream with `slots`.
+/// Computes the allotment of `me` at an upstream with `slots`.
 ///
 /// `settled` tells the lowest epoch a node may still act on, as far as is known.
 pub fn compute(
@@ -54,7 +54,7 @@
     upstream: &upstream::Key,
     slots: u32,
     settled: &dyn Fn(&member::Key) -> epoch::Epoch,
-) -> Rights {
+) -> Allotment {
     let epochs = epochs(table, upstream, slots);
     let nodes = table.listed.iter().map(|s| &s.key).chain(table.departed.iter().map(|d| &d.key));
     let nodes: Vec<(&member::Key, epoch::Epoch)> = nodes.map(|k| (k, settled(k))).collect();
@@ -66,7 +66,7 @@
     let window = epochs.iter().filter(|e| e.epoch >= lowest);
     let floor = window.map(|e| e.share(me)).min().unwrap_or(0);
     let room = slots.saturating_sub(reserved);
-    Rights {
+    Allotment {
         share,
         usable: share.min(floor.max(room)),
         ranked: newest.map_or(Vec::new(), |e| e.shares.iter().map(|(k, _)| k.clone()).collect()),
@@ -97,7 +97,7 @@
     upstream: &upstream::Key,
     slots: u32,
 ) -> Shares {
-    let ranked = rank::top(upstream, keys);
+    let ranked = rendezvous::top(upstream, keys);
     let ranks = ranked.len();
     let shares = ranked.into_iter().enumerate();
     let shares = shares.map(|(rank, key)| (key.clone(), share::of(slots, rank, ranks))).collect();
--- a/crates/steer/src/ownership/core.rs
+++ b/crates/steer/src/ownership/core.rs
@@ -14,17 +14,17 @@
 use model::verdict;
 
 use crate::ownership::action;
-use crate::ownership::beat;
 use crate::ownership::event;
-use crate::ownership::home;
+use crate::ownership::heartbeat;
+use crate::ownership::maintenance;
 use crate::ownership::members;
+use crate::ownership::owner;
 use crate::ownership::peering;
-use crate::ownership::registrar;
 use crate::ownership::router;
 use crate::ownership::vms;
 
-/// Time between two beats of a node.
-pub const BEAT: Duration = Duration::from_millis(500);
+/// Time between two heartbeats of a node.
+pub const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
 
 /// Time for which a starting node listens for peers before it believes that there are none.
 const LISTEN: Duration = Duration::from_secs(2);
@@ -32,30 +32,30 @@
 /// Most members in one message, the latest news first: the whole target fleet, for one that starts.
 const MOST_MEMBERS: usize = 512;
 
-/// Most summaries of homes in one message, the latest first.
+/// Most summaries of owners in one message, the latest first.
 const MOST_SUMMARIES: usize = 256;
 
 /// The decisions of one node.
 #[derive(Debug)]
 pub struct Core {
     /// This node, as it describes itself.
-    pub me: beat::Member,
+    pub me: heartbeat::Member,
     /// The configuration it acts on.
     pub snapshot: sync::Arc<snapshot::Snapshot>,
     /// The tables it knows, by region.
     pub tables: collections::BTreeMap<id::Region, sync::Arc<table::Table>>,
     /// The nodes it knows.
     pub members: members::Members,
-    /// Its duty as a home.
-    pub home: home::Home,
+    /// Its duty as an owner.
+    pub owner: owner::Owner,
     /// Its duty as an entry.
     pub router: router::Router,
-    registrar: registrar::Registrar,
+    maintainer: maintenance::Maintainer,
     peering: peering::Peering,
     vms: vms::List,
     wall: SystemTime,
     started: Instant,
-    last_beat: Option<Instant>,
+    last_heartbeat: Option<Instant>,
     has_positions: bool,
     has_stored_table: bool,
     is_stale: bool,
@@ -66,7 +66,7 @@
     /// Makes the core of a node that starts now.
     #[must_use]
     pub fn new(
-        me: beat::Member,
+        me: heartbeat::Member,
         seeds: Vec<std::net::SocketAddr>,
         now: Instant,
         wall: SystemTime,
@@ -77,14 +77,14 @@
             me,
             snapshot: sync::Arc::default(),
             tables: collections::BTreeMap::new(),
-            home: home::Home::default(),
+            owner: owner::Owner::default(),
             router: router::Router::default(),
-            registrar: registrar::Registrar::default(),
+            maintainer: maintenance::Maintainer::default(),
             peering,
             vms: vms::List::default(),
             wall,
             started: now,
-            last_beat: None,
+            last_heartbeat: None,
             has_positions: false,
             has_stored_table: false,
             is_stale: true,
@@ -102,26 +102,26 @@
                 let ask = router::Ask { request, service, place, region };
                 self.route(ask, now, out);
             }
-            event::Event::Used { home, service, usage } => {
-                self.router.used(&home, &service, usage, now);
+            event::Event::Used { owner, service, usage } => {
+                self.router.used(&owner, &service, usage, now);
             }
             event::Event::Returned { request } => self.router.returned(request),
             event::Event::Failed { request, failure, repetition } => {
                 if failure.reason == verdict::Reason::NotReady {
-                    self.suspect_home(request, now);
+                    self.suspect_owner(request, now);
                 }
                 self.with_router(now, |router, view| {
                     router.failed(request, failure, repetition, view, out);
                 });
             }
-            event::Event::Offer { offer } => self.home.offer(offer, now, out),
-            event::Event::Done { request, outcome } => self.home.done(request, outcome, now, out),
-            event::Event::Withdraw { request } => self.home.withdraw(request, now, out),
+            event::Event::Offer { offer } => self.owner.offer(offer, now, out),
+            event::Event::Done { request, outcome } => self.owner.done(request, outcome, now, out),
+            event::Event::Withdraw { request } => self.owner.withdraw(request, now, out),
             event::Event::Probed { upstream, report } => {
-                self.home.probed(&upstream, report.as_ref());
+                self.owner.probed(&upstream, report.as_ref());
             }
-            event::Event::Beat { beat } => {
-                let reply = Box::new(self.answer(&beat, now, out));
+            event::Event::Heartbeat { heartbeat } => {
+                let reply = Box::new(self.answer(&heartbeat, now, out));
                 out.push(action::Action::Reply { reply });
             }
             event::Event::Replied { reply, sent } => self.replied(&reply, sent, now, out),
@@ -132,7 +132,7 @@
             event::Event::Stop => self.me.is_leaving = true,
             event::Event::Tick { wall } => self.tick(wall, now, out),
         }
-        // Rights and homes must never lag behind the epoch and revision this node claims.
+        // Rights and owners must never lag behind the epoch and revision this node claims.
         if self.is_stale {
             self.refresh(now);
         }
@@ -155,7 +155,7 @@
     pub fn is_done(&self) -> bool {
         let table = self.tables.get(&self.me.region);
         let listed = table.is_some_and(|t| t.find(&self.me.key).is_some());
-        !listed && self.home.load() == 0 && self.router.load() == 0
+        !listed && self.owner.load() == 0 && self.router.load() == 0
     }
 
     /// Returns the nodes that hold a lower revision than this one, by name.
@@ -196,10 +196,10 @@
         if snapshot.revision <= self.snapshot.revision {
             return;
         }
-        self.home.configure(&snapshot, &self.me.region);
+        self.owner.configure(&snapshot, &self.me.region);
         self.me.revision = snapshot.revision;
         self.snapshot = snapshot;
-        self.home.drain(&self.snapshot, &self.vms, self.wall);
+        self.owner.drain(&self.snapshot, &self.vms, self.wall);
         self.is_stale = true;
     }
 
@@ -221,7 +221,7 @@
 
     fn take_vms(&mut self, list: vms::List) {
         self.vms = list;
-        self.home.drain(&self.snapshot, &self.vms, self.wall);
+        self.owner.drain(&self.snapshot, &self.vms, self.wall);
     }
 
     fn route(&mut self, ask: router::Ask, now: Instant, out: &mut Vec<action::Action>) {
@@ -234,38 +234,40 @@
         }
     }
 
-    /// Gives no more work to a home that could not be reached, until it is heard of again. It has
+    /// Gives no more work to an owner that could not be reached, until it is heard of again. It has
     /// nothing outstanding, so it would look like the least loaded of all.
-    fn suspect_home(&mut self, request: crate::ownership::request::Id, now: Instant) {
-        if let Some(home) = self.router.home_of(request).cloned() {
-            self.members.fail(&home, now);
+    fn suspect_owner(&mut self, request: crate::ownership::request::Id, now: Instant) {
+        if let Some(owner) = self.router.owner_of(request).cloned() {
+            self.members.fail(&owner, now);
             self.refresh(now);
         }
     }
 
     fn tick(&mut self, wall: SystemTime, now: Instant, out: &mut Vec<action::Action>) {
         self.wall = wall;
-        self.home.tick(now, out);
-        let due = self.last_beat.is_none_or(|at| now.saturating_duration_since(at) >= BEAT);
+        self.owner.tick(now, out);
+        let due = self
+            .last_heartbeat
+            .is_none_or(|at| now.saturating_duration_since(at) >= HEARTBEAT_PERIOD);
         if due {
-            self.last_beat = Some(now);
-            self.beat(now, out);
+            self.last_heartbeat = Some(now);
+            self.heartbeat(now, out);
         }
     }
 
-    /// Does what is done at every beat.
-    fn beat(&mut self, now: Instant, out: &mut Vec<action::Action>) {
+    /// Does what is done at every heartbeat.
+    fn heartbeat(&mut self, now: Instant, out: &mut Vec<action::Action>) {
         self.me.sequence += 1;
-        self.home.drain(&self.snapshot, &self.vms, self.wall);
-        self.home.roll(now);
+        self.owner.drain(&self.snapshot, &self.vms, self.wall);
+        self.owner.roll(now);
         self.refresh(now);
         self.settle(now);
         self.members.hear(&self.me, now);
         self.members.forget(now);
         let sequence = self.me.sequence;
-        // Homes tell their use with every answer too, so every second beat is enough.
+        // Homes tell their use with every answer too, so every second heartbeat is enough.
         if sequence.is_multiple_of(2) {
-            for summary in self.home.summaries(&self.me.key, &self.me.region, sequence, now) {
+            for summary in self.owner.summaries(&self.me.key, &self.me.region, sequence, now) {
                 self.router.hear(&summary, now);
             }
         }
@@ -274,10 +276,10 @@
             self.with_router(now, |router, view| router.plan(view));
         }
         self.propose(now, out);
-        self.send_beats(now, out);
+        self.send_heartbeats(now, out);
     }
 
-    /// Brings homes and rights up to date when a table, a configuration or the living changed.
+    /// Brings owners and allotment up to date when a table, a configuration or the living changed.
     fn refresh(&mut self, now: Instant) {
         let alive: Vec<member::Key> =
             self.members.alive(now).map(|k| k.member.key.clone()).collect();
@@ -290,7 +292,7 @@
             let is_alive = |key: &member::Key| {
                 key == me || members.incarnation(key).is_some_and(|k| k.is_alive(now))
             };
-            self.router.find_homes(&self.snapshot, &self.tables, &is_alive);
+            self.router.find_owners(&self.snapshot, &self.tables, &is_alive);
         }
         self.assign();
     }
@@ -299,12 +301,12 @@
         let Some(table) = self.tables.get(&self.me.region) else { return };
         let members = &self.members;
         let settled = |key: &member::Key| settled(table, members, key);
-        self.home.assign(table, &self.me.key, &settled);
+        self.owner.assign(table, &self.me.key, &settled);
     }
 
     /// Tells others that older shares are given up, once nothing is in use beyond the newest.
     fn settle(&mut self, now: Instant) {
-        if self.home.is_settled(now) {
+        if self.owner.is_settled(now) {
             self.me.settled = self.me.epoch;
         }
     }
@@ -315,7 +317,7 @@
             return;
         }
         let empty = table::Table::empty(&self.me.region);
-        let view = registrar::View {
+        let view = maintenance::View {
             table: self.tables.get(&self.me.region).map_or(&empty, |t| t),
             me: &self.me,
             members: &self.members,
@@ -324,7 +326,7 @@
             tail: self.tail(),
             now,
         };
-        if let Some(table) = self.registrar.decide(&view) {
+        if let Some(table) = self.maintainer.decide(&view) {
             out.push(action::Action::Propose { table: sync::Arc::new(table) });
         }
     }
@@ -333,84 +335,88 @@
     fn tail(&self) -> Duration {
         let services = self.snapshot.services.values();
         let longest = services.map(|s| s.spec.deadline).max().unwrap_or_default();
-        longest + home::CANCEL_GRACE
+        longest + owner::CANCEL_GRACE
     }
 
-    fn send_beats(&mut self, now: Instant, out: &mut Vec<action::Action>) {
-        let lenders = self.home.lenders(&self.me.key);
-        let lenders: Vec<id::Node> = lenders.into_iter().map(|key| key.node.clone()).collect();
-        for target in self.peering.targets(&self.me, &self.members, &lenders, now) {
-            let beat = Box::new(self.make_beat(target.node.as_ref(), now));
-            out.push(action::Action::Beat { to: target.address, node: target.node, beat });
+    fn send_heartbeats(&mut self, now: Instant, out: &mut Vec<action::Action>) {
+        let grantors = self.owner.grantors(&self.me.key);
+        let grantors: Vec<id::Node> = grantors.into_iter().map(|key| key.node.clone()).collect();
+        for target in self.peering.targets(&self.me, &self.members, &grantors, now) {
+            let heartbeat = Box::new(self.make_heartbeat(target.node.as_ref(), now));
+            out.push(action::Action::Heartbeat {
+                to: target.address,
+                node: target.node,
+                heartbeat,
+            });
         }
     }
 
-    fn make_beat(&mut self, node: Option<&id::Node>, now: Instant) -> beat::Request {
+    fn make_heartbeat(&mut self, node: Option<&id::Node>, now: Instant) -> heartbeat::Request {
         let member = node.and_then(|n| self.members.get(n)).map(|k| &k.member);
         let region = member.map(|m| m.region.clone());
         let key = member.map(|m| m.key.clone());
-        let held = key.map_or(Vec::new(), |key| self.home.held(&self.me.key, &key));
+        let held = key.map_or(Vec::new(), |key| self.owner.held(&self.me.key, &key));
         let since = node.and_then(|n| self.peering.told(n, now));
-        beat::Request {
+        heartbeat::Request {
             sender: self.me.clone(),
-            news: self.news(region.as_ref(), since, None),
+            update: self.update(region.as_ref(), since, None),
             epochs: self.tables.iter().map(|(r, t)| (r.clone(), t.epoch)).collect(),
-            borrows: true,
+            wants_leases: true,
             held,
             wants_positions: !self.has_positions && !self.has_listened(now),
         }
     }
 
-    /// Answers a peer's beat.
+    /// Answers a peer's heartbeat.
     fn answer(
         &mut self,
-        beat: &beat::Request,
+        heartbeat: &heartbeat::Request,
         now: Instant,
         out: &mut Vec<action::Action>,
-    ) -> beat::Reply {
-        self.hear(&beat.sender, &beat.news, now, out);
-        let sender = &beat.sender;
-        let mut loans = Vec::new();
+    ) -> heartbeat::Reply {
+        self.hear(&heartbeat.sender, &heartbeat.update, now, out);
+        let sender = &heartbeat.sender;
+        let mut leases = Vec::new();
         if sender.region == self.me.region {
-            // Both must act on one table, or the two would disagree about who is home.
+            // Both must act on one table, or the two would disagree about who is owner.
             match sender.epoch.cmp(&self.me.epoch) {
                 std::cmp::Ordering::Equal => {
-                    self.home.take_back(&sender.key, &beat.held);
-                    loans = self.home.lend(&sender.key, now);
+                    self.owner.reclaim(&sender.key, &heartbeat.held);
+                    leases = self.owner.grant(&sender.key, now);
                 }
                 std::cmp::Ordering::Less | std::cmp::Ordering::Greater => {}
             }
         }
         let since = self.peering.told(&sender.key.node, now);
-        let positions = match beat.wants_positions && self.is_ready(now) {
+        let positions = match heartbeat.wants_positions && self.is_ready(now) {
             true => self.router.positions().collect(),
             false => Vec::new(),
         };
-        beat::Reply {
+        heartbeat::Reply {
             sender: self.me.clone(),
-            news: self.news(Some(&beat.sender.region), since, Some(&beat.epochs)),
-            loans,
-            term: home::LOAN_TERM,
+            update: self.update(Some(&heartbeat.sender.region), since, Some(&heartbeat.epochs)),
+            leases,
+            term: owner::LEASE_TERM,
             positions,
         }
     }
 
     fn replied(
         &mut self,
-        reply: &beat::Reply,
+        reply: &heartbeat::Reply,
         sent: Instant,
         now: Instant,
         out: &mut Vec<action::Action>,
     ) {
-        self.hear(&reply.sender, &reply.news, now, out);
+        self.hear(&reply.sender, &reply.update, now, out);
         for position in &reply.positions {
             self.router.adopt(position);
         }
         self.has_positions |= !reply.positions.is_empty();
-        // A loan was made to the home of that epoch; by now this node may be home no more.
+        // A lease was made to the owner of that epoch; by now this node may be owner no more.
         if reply.sender.region == self.me.region && self.asked_under(sent) == self.me.epoch {
-            let lender = &reply.sender.key;
-            self.home.borrow(lender, &self.me.key, &reply.loans, sent, reply.term);
+            let grantor = &reply.sender.key;
+            self.owner.hold_lease(grantor, &self.me.key, &reply.leases, sent, reply.term);
         }
     }
 
@@ -421,29 +427,29 @@
     /// Takes in what a peer says of itself and of others.
     fn hear(
         &mut self,
-        sender: &beat::Member,
-        news: &beat::News,
+        sender: &heartbeat::Member,
+        update: &heartbeat::Update,
         now: Instant,
         out: &mut Vec<action::Action>,
     ) {
-        for member in news.members.iter().chain([sender]) {
+        for member in update.members.iter().chain([sender]) {
             if member.key.node != self.me.key.node {
                 self.members.hear(member, now);
             }
         }
-        for pulse in news.pulses.iter().filter(|p| p.key.node != self.me.key.node) {
-            self.members.pulse(pulse, now);
+        for liveness in update.liveness.iter().filter(|p| p.key.node != self.me.key.node) {
+            self.members.liveness(liveness, now);
         }
-        for summary in &news.summaries {
+        for summary in &update.summaries {
             self.router.hear(summary, now);
         }
-        for summary in &news.regions {
+        for summary in &update.regions {
             if self.router.summaries.hear_region(summary, now) {
                 self.members.sign(&summary.region, now);
             }
         }
         self.members.sign(&sender.region, now);
-        for table in &news.tables {
+        for table in &update.tables {
             self.adopt(sync::Arc::clone(table), false);
         }
         if self.is_stale {
@@ -454,28 +460,28 @@
         }
     }
 
-    fn news(
+    fn update(
         &self,
         to: Option<&id::Region>,
         since: Option<Instant>,
         known: Option<&collections::BTreeMap<id::Region, epoch::Epoch>>,
-    ) -> beat::News {
+    ) -> heartbeat::Update {
         let is_newer = |table: &&sync::Arc<table::Table>| {
             known.is_some_and(|known| {
                 known.get(&table.region).copied().unwrap_or_default() < table.epoch
             })
         };
-        let (members, pulses) = self.members.news(since, MOST_MEMBERS);
-        // Only the own region hears of single nodes' lives and homes.
-        let (pulses, summaries) = match to == Some(&self.me.region) {
-            true => (pulses, self.router.summaries.news(since, MOST_SUMMARIES)),
+        let (members, liveness) = self.members.news(since, MOST_MEMBERS);
+        // Only the own region hears of single nodes' lives and owners.
+        let (liveness, summaries) = match to == Some(&self.me.region) {
+            true => (liveness, self.router.summaries.news(since, MOST_SUMMARIES)),
             false => (Vec::new(), Vec::new()),
         };
-        beat::News {
+        heartbeat::Update {
             members,
-            pulses,
+            liveness,
             summaries,
-            regions: self.router.summaries.regional_news(since),
+            regions: self.router.summaries.regional_updates(since),
             tables: self.tables.values().filter(is_newer).cloned().collect(),
         }
     }
--- a/crates/steer/src/ownership/event.rs
+++ b/crates/steer/src/ownership/event.rs
@@ -9,7 +9,7 @@
 use model::table;
 use model::verdict;
 
-use crate::ownership::beat;
+use crate::ownership::heartbeat;
 use crate::ownership::report;
 use crate::ownership::request;
 use crate::ownership::vms;
@@ -35,7 +35,7 @@
         /// The list.
         list: vms::List,
     },
-    /// A caller's request wants a region and a home.
+    /// A caller's request wants a region and an owner.
     Route {
         /// The request.
         request: request::Id,
@@ -51,16 +51,16 @@
         /// The request.
         request: request::Id,
     },
-    /// A home told how much of its slots a service uses.
+    /// An owner told how much of its slots a service uses.
     Used {
-        /// The home.
-        home: id::Node,
+        /// The owner.
+        owner: id::Node,
         /// The service.
         service: id::Service,
         /// What it told.
-        usage: beat::Use,
+        usage: heartbeat::Usage,
     },
-    /// A routed request failed at its home; it is routed again, or refused for good.
+    /// A routed request failed at its owner; it is routed again, or refused for good.
     Failed {
         /// The request.
         request: request::Id,
@@ -93,19 +93,19 @@
         /// What it said; none when it did not answer.
         report: Option<report::Report>,
     },
-    /// A peer's beat arrived.
-    Beat {
-        /// The beat.
-        beat: Box<beat::Request>,
+    /// A peer's heartbeat arrived.
+    Heartbeat {
+        /// The heartbeat.
+        heartbeat: Box<heartbeat::Request>,
     },
-    /// A peer answered a beat.
+    /// A peer answered a heartbeat.
     Replied {
         /// The answer.
-        reply: Box<beat::Reply>,
-        /// When the beat was sent.
+        reply: Box<heartbeat::Reply>,
+        /// When the heartbeat was sent.
         sent: Instant,
     },
-    /// A peer did not answer a beat, or refused a connection.
+    /// A peer did not answer a heartbeat, or refused a connection.
     Unanswered {
         /// The peer.
         node: id::Node,
--- a/crates/steer/src/ownership/health.rs
+++ b/crates/steer/src/ownership/health.rs
@@ -1,7 +1,7 @@
 //! Health: what probes and outcomes say against an upstream.
 //!
 //! Reports may lag or mislead, so they only ever lower trust: a good report never raises what the
-//! home would do without it.
+//! owner would do without it.
 
 use std::time::{Duration, Instant};
 
--- a/crates/steer/src/ownership/beat.rs
+++ b/crates/steer/src/ownership/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Beats: what two nodes tell each other at every exchange.
+//! Heartbeats: what two nodes tell each other at every exchange.
 
 use std::collections;
 use std::net;
@@ -29,7 +29,7 @@
     pub peers: net::SocketAddr,
     /// Its face for operators.
     pub operators: net::SocketAddr,
-    /// Grows with each beat of that incarnation.
+    /// Grows with each heartbeat of that incarnation.
     pub sequence: u64,
     /// The configuration it acts on.
     pub revision: revision::Revision,
@@ -41,16 +41,16 @@
     pub is_leaving: bool,
 }
 
-/// The standing of one service at one home, or summed over a region.
+/// The standing of one service at one owner, or summed over a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
-    /// The home; whoever summed it up, for a region.
+    /// The owner; whoever summed it up, for a region.
     pub key: member::Key,
     /// Its region.
     pub region: id::Region,
     /// The service.
     pub service: id::Service,
-    /// Orders the summaries of one home or region.
+    /// Orders the summaries of one owner or region.
     pub sequence: u64,
     /// Slots it would use now.
     pub usable: u32,
@@ -62,9 +62,9 @@
     pub rates: Vec<(id::Place, u32)>,
 }
 
-/// How much of its slots a service uses at one home, told with every answer.
+/// How much of its slots a service uses at one owner, told with every answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Use {
+pub struct Usage {
     /// Requests that hold a slot or wait for one.
     pub busy: u32,
     /// Slots that may be used now.
@@ -73,12 +73,12 @@
 
 /// Slots of one upstream that the sender will not use for a while.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Loan {
+pub struct Lease {
     /// The upstream.
     pub upstream: upstream::Key,
     /// The slots.
     pub slots: u32,
-    /// Time after the loan's term in which work on it must end: its service's deadline.
+    /// Time after the lease's term in which work on it must end: its service's deadline.
     pub tail: Duration,
 }
 
@@ -99,13 +99,13 @@
     /// The sender.
     pub sender: Member,
     /// What it has learned of others.
-    pub news: News,
+    pub update: Update,
     /// The newest tables it knows, by region.
     pub epochs: collections::BTreeMap<id::Region, epoch::Epoch>,
-    /// Whether it asks for the receiver's shares of the upstreams it is home of.
-    pub borrows: bool,
-    /// What it still holds of loans for upstreams it is no longer home of.
-    pub held: Vec<Loan>,
+    /// Whether it asks for the receiver's shares of the upstreams it is owner of.
+    pub wants_leases: bool,
+    /// What it still holds of leases for upstreams it is no longer owner of.
+    pub held: Vec<Lease>,
     /// Whether it wants to know where the receiver's splits stand.
     pub wants_positions: bool,
 }
@@ -116,10 +116,10 @@
     /// The receiver.
     pub sender: Member,
     /// What it has learned of others.
-    pub news: News,
-    /// Its loans.
-    pub loans: Vec<Loan>,
-    /// Time in which work may start on the loans.
+    pub update: Update,
+    /// Its leases.
+    pub leases: Vec<Lease>,
+    /// Time in which work may start on the leases.
     pub term: Duration,
     /// Where its splits stand, when asked.
     pub positions: Vec<Position>,
@@ -127,21 +127,21 @@
 
 /// A sign of life of a member whose description the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pulse {
+pub struct Liveness {
     /// Which incarnation of which node.
     pub key: member::Key,
-    /// Its latest beat.
+    /// Its latest heartbeat.
     pub sequence: u64,
 }
 
 /// What a node passes on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
+pub struct Update {
     /// Members whose descriptions changed lately.
     pub members: Vec<Member>,
     /// Members of the region that sender and receiver share, heard of lately.
-    pub pulses: Vec<Pulse>,
-    /// Summaries of homes of the region that sender and receiver share.
+    pub liveness: Vec<Liveness>,
+    /// Summaries of owners of the region that sender and receiver share.
     pub summaries: Vec<Summary>,
     /// Summaries of whole regions.
     pub regions: Vec<Summary>,
--- a/crates/steer/src/ownership/loan.rs
+++ b/crates/steer/src/ownership/lease.rs
@@ -1,13 +1,13 @@
 //! Loans: slots of one upstream that a node promises another not to use for a time.
 //!
-//! In quiet times every ranked node lends its share to the home, which then has all slots and
-//! counts them exactly. A loan ends by itself, by both clocks: the borrower counts from when it
-//! asked, the lender from when it answered, which is later. So a home that is paused or cut off
+//! In quiet times every ranked node grants its share to the owner, which then has all slots and
+//! counts them exactly. A lease ends by itself, by both clocks: the holder counts from when it
+//! asked, the grantor from when it answered, which is later. So an owner that is paused or cut off
 //! cannot use the share of a node that carries on without it.
 
 use std::time::{Duration, Instant};
 
-/// How long a loan is good.
+/// How long a lease is good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
     /// Time in which work may start on it.
@@ -18,8 +18,8 @@
 
 /// Slots that another node promised not to use.
 #[derive(Clone, Debug, Default)]
-pub struct Borrowed {
-    /// Requests that hold a slot of this loan.
+pub struct Held {
+    /// Requests that hold a slot of this lease.
     pub running: u32,
     slots: u32,
     asked: Option<Instant>,
@@ -27,7 +27,7 @@
     ends_by: Option<Instant>,
 }
 
-impl Borrowed {
+impl Held {
     /// Notes a promise; one that was asked for earlier than the last is passed over.
     pub fn renew(&mut self, slots: u32, asked: Instant, terms: Terms) {
         if self.asked.is_some_and(|before| asked < before) {
@@ -55,21 +55,21 @@
         }
     }
 
-    /// Ends the loan for new work.
+    /// Ends the lease for new work.
     pub fn end(&mut self) {
         self.starts_until = None;
     }
 
-    /// Returns whether the loan still matters.
+    /// Returns whether the lease still matters.
     #[must_use]
     pub fn expire(&self, now: Instant) -> bool {
         self.running > 0 || self.slots(now) > 0
     }
 }
 
-/// Slots that this node promised not to use, by one borrower.
+/// Slots that this node promised not to use, by one holder.
 #[derive(Clone, Debug, Default)]
-pub struct Lent {
+pub struct Granted {
     promises: Vec<Promise>,
 }
 
@@ -79,7 +79,7 @@
     until: Instant,
 }
 
-impl Lent {
+impl Granted {
     /// Adds a promise. Earlier ones stay until their own end when they are greater.
     pub fn promise(&mut self, slots: u32, until: Instant) {
         self.promises.retain(|p| p.slots > slots || p.until > until);
--- a/crates/steer/src/ownership/ledger.rs
+++ b/crates/steer/src/ownership/ledger.rs
@@ -5,16 +5,16 @@
 
 use model::member;
 
-use crate::ownership::loan;
-use crate::ownership::rights;
+use crate::ownership::allotment;
+use crate::ownership::lease;
 
 /// Whose slot a request holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
     /// One that this node has by right.
     Own,
-    /// One that another node lent.
-    Loan(member::Key),
+    /// One that another node granted.
+    Lease(member::Key),
 }
 
 /// Slots of one upstream as this node may use them.
@@ -22,59 +22,59 @@
 pub struct Ledger {
     /// Slots the upstream has.
     pub slots: u32,
-    /// This node's rights by itself.
-    pub rights: rights::Rights,
+    /// This node's allotment by itself.
+    pub allotment: allotment::Allotment,
     running: u32,
     cooling: Vec<(Instant, Source)>,
-    borrowed: collections::BTreeMap<member::Key, loan::Borrowed>,
-    lent: collections::BTreeMap<member::Key, loan::Lent>,
+    held: collections::BTreeMap<member::Key, lease::Held>,
+    granted: collections::BTreeMap<member::Key, lease::Granted>,
 }
 
 impl Ledger {
     /// Makes the ledger of an upstream that nobody uses yet.
     #[must_use]
-    pub fn new(slots: u32, rights: rights::Rights) -> Self {
+    pub fn new(slots: u32, allotment: allotment::Allotment) -> Self {
         Self {
             slots,
-            rights,
+            allotment,
             running: 0,
             cooling: Vec::new(),
-            borrowed: collections::BTreeMap::new(),
-            lent: collections::BTreeMap::new(),
+            held: collections::BTreeMap::new(),
+            granted: collections::BTreeMap::new(),
         }
     }
 
-    /// Returns how many requests may run now, by right and by loan.
+    /// Returns how many requests may run now, by right and by lease.
     #[must_use]
     pub fn capacity(&self, now: Instant) -> u32 {
-        let own = self.rights.usable.saturating_sub(self.lent_slots(now));
-        own + self.borrowed_slots(now)
+        let own = self.allotment.usable.saturating_sub(self.granted_slots(now));
+        own + self.held_slots(now)
     }
 
     /// Returns the slots that hold a request, or may still hold one that was abandoned.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
-        self.running + self.borrowed.values().map(|b| b.running).sum::<u32>()
+        self.running + self.held.values().map(|b| b.running).sum::<u32>()
     }
 
     /// Returns whose slot a request with this deadline could take.
     #[must_use]
     pub fn room(&self, now: Instant, deadline: Instant) -> Option<Source> {
-        let own = self.rights.usable.saturating_sub(self.lent_slots(now));
+        let own = self.allotment.usable.saturating_sub(self.granted_slots(now));
         if self.running < own {
             return Some(Source::Own);
         }
-        let loan = self.borrowed.iter().find(|(_, b)| b.has_room(now, deadline));
-        loan.map(|(lender, _)| Source::Loan(lender.clone()))
+        let lease = self.held.iter().find(|(_, b)| b.has_room(now, deadline));
+        lease.map(|(grantor, _)| Source::Lease(grantor.clone()))
     }
 
     /// Takes a slot of `source`.
     pub fn start(&mut self, source: &Source) {
         match source {
             Source::Own => self.running += 1,
-            Source::Loan(lender) => {
-                if let Some(borrowed) = self.borrowed.get_mut(lender) {
-                    borrowed.running += 1;
+            Source::Lease(grantor) => {
+                if let Some(held) = self.held.get_mut(grantor) {
+                    held.running += 1;
                 }
             }
         }
@@ -84,9 +84,9 @@
     pub fn finish(&mut self, source: &Source) {
         match source {
             Source::Own => self.running = self.running.saturating_sub(1),
-            Source::Loan(lender) => {
-                if let Some(borrowed) = self.borrowed.get_mut(lender) {
-                    borrowed.running = borrowed.running.saturating_sub(1);
+            Source::Lease(grantor) => {
+                if let Some(held) = self.held.get_mut(grantor) {
+                    held.running = held.running.saturating_sub(1);
                 }
             }
         }
@@ -107,67 +107,73 @@
         for source in &cooled {
             self.finish(source);
         }
-        self.lent.retain(|_, lent| lent.expire(now));
-        self.borrowed.retain(|_, borrowed| borrowed.expire(now));
+        self.granted.retain(|_, granted| granted.expire(now));
+        self.held.retain(|_, held| held.expire(now));
         !cooled.is_empty()
     }
 
-    /// Lends all that is free to `home` until `until`; returns the slots lent.
-    pub fn lend(&mut self, home: &member::Key, now: Instant, until: Instant) -> u32 {
-        let others = self.lent.iter().filter(|(key, _)| *key != home);
-        let others: u32 = others.map(|(_, lent)| lent.slots(now)).sum();
-        let free = self.rights.usable.saturating_sub(self.running + others);
+    /// Grants all that is free to `owner` until `until`; returns the slots granted.
+    pub fn grant(&mut self, owner: &member::Key, now: Instant, until: Instant) -> u32 {
+        let others = self.granted.iter().filter(|(key, _)| *key != owner);
+        let others: u32 = others.map(|(_, granted)| granted.slots(now)).sum();
+        let free = self.allotment.usable.saturating_sub(self.running + others);
         if free > 0 {
-            self.lent.entry(home.clone()).or_default().promise(free, until);
+            self.granted.entry(owner.clone()).or_default().promise(free, until);
         }
         free
     }
 
-    /// Takes back from `home` all but `held` slots, by its own word.
-    pub fn take_back(&mut self, home: &member::Key, held: u32) {
-        if let Some(lent) = self.lent.get_mut(home) {
-            lent.limit(held);
+    /// Takes back from `owner` all but `held` slots, by its own word.
+    pub fn reclaim(&mut self, owner: &member::Key, held: u32) {
+        if let Some(granted) = self.granted.get_mut(owner) {
+            granted.limit(held);
         }
     }
 
-    /// Notes a loan from `lender`, asked for at `asked`, which is before its promise began.
-    pub fn borrow(&mut self, lender: &member::Key, slots: u32, asked: Instant, terms: loan::Terms) {
-        self.borrowed.entry(lender.clone()).or_default().renew(slots, asked, terms);
+    /// Notes a lease from `grantor`, asked for at `asked`, which is before its promise began.
+    pub fn hold_lease(
+        &mut self,
+        grantor: &member::Key,
+        slots: u32,
+        asked: Instant,
+        terms: lease::Terms,
+    ) {
+        self.held.entry(grantor.clone()).or_default().renew(slots, asked, terms);
     }
 
-    /// Starts nothing more on loans; what runs on them goes on.
-    pub fn end_loans(&mut self) {
-        for borrowed in self.borrowed.values_mut() {
-            borrowed.end();
+    /// Starts nothing more on leases; what runs on them goes on.
+    pub fn end_held_leases(&mut self) {
+        for held in self.held.values_mut() {
+            held.end();
         }
     }
 
-    /// Returns, for each lender, the slots of its loan that are in use.
-    pub fn held(&self) -> impl Iterator<Item = (&member::Key, u32)> {
-        self.borrowed.iter().map(|(lender, borrowed)| (lender, borrowed.running))
+    /// Returns, for each grantor, the slots of its lease that are in use.
+    pub fn running_on_leases(&self) -> impl Iterator<Item = (&member::Key, u32)> {
+        self.held.iter().map(|(grantor, held)| (grantor, held.running))
     }
 
     /// Returns the slots promised to others.
     #[must_use]
-    pub fn lent_slots(&self, now: Instant) -> u32 {
-        self.lent.values().map(|l| l.slots(now)).sum()
+    pub fn granted_slots(&self, now: Instant) -> u32 {
+        self.granted.values().map(|l| l.slots(now)).sum()
     }
 
     /// Returns the slots that others promised.
     #[must_use]
-    pub fn borrowed_slots(&self, now: Instant) -> u32 {
-        self.borrowed.values().map(|b| b.slots(now)).sum()
+    pub fn held_slots(&self, now: Instant) -> u32 {
+        self.held.values().map(|b| b.slots(now)).sum()
     }
 
-    /// Returns whether what this node uses or has lent fits its share of the newest epoch.
+    /// Returns whether what this node uses or has granted fits its share of the newest epoch.
     #[must_use]
     pub fn is_settled(&self, now: Instant) -> bool {
-        self.running + self.lent_slots(now) <= self.rights.share
+        self.running + self.granted_slots(now) <= self.allotment.share
     }
 
-    /// Returns whether nothing is in use, lent or borrowed.
+    /// Returns whether nothing is in use, granted or held.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.in_flight() == 0 && self.lent.is_empty() && self.borrowed.is_empty()
+        self.in_flight() == 0 && self.granted.is_empty() && self.held.is_empty()
     }
 }
--- a/crates/steer/src/ownership/registrar.rs
+++ b/crates/steer/src/ownership/maintenance.rs
@@ -1,4 +1,4 @@
-//! The registrar: when a region's table in the store is to be rewritten, and how.
+//! The maintainer: when a region's table in the store is to be rewritten, and how.
 //!
 //! Every node of the region runs it; the first by name acts at once and each after it a little
 //! later, so that one is enough. Two that act at once race by compare-and-swap and one wins.
@@ -9,7 +9,7 @@
 use model::member;
 use model::table;
 
-use crate::ownership::beat;
+use crate::ownership::heartbeat;
 use crate::ownership::members;
 use crate::ownership::vms;
 
@@ -22,21 +22,21 @@
 /// Earlier epochs in a table from which one is rewritten just to be shorter.
 const LONG_PAST: usize = 4;
 
-/// The registrar's memory.
+/// The maintainer's memory.
 #[derive(Debug, Default)]
-pub struct Registrar {
+pub struct Maintainer {
     wanted_since: Option<Instant>,
     proposed: Option<Instant>,
     ends: collections::BTreeMap<member::Key, Instant>,
 }
 
-/// What the registrar looks at.
+/// What the maintainer looks at.
 #[derive(Debug)]
 pub struct View<'a> {
     /// The region's newest known table.
     pub table: &'a table::Table,
     /// This node.
-    pub me: &'a beat::Member,
+    pub me: &'a heartbeat::Member,
     /// The nodes that are known.
     pub members: &'a members::Members,
     /// The VM list.
@@ -49,7 +49,7 @@
     pub now: Instant,
 }
 
-impl Registrar {
+impl Maintainer {
     /// Returns the table to propose, when it is this node's turn.
     pub fn decide(&mut self, view: &View<'_>) -> Option<table::Table> {
         let joins = joins(view);
--- a/crates/steer/src/ownership/members.rs
+++ b/crates/steer/src/ownership/members.rs
@@ -11,7 +11,7 @@
 use model::member;
 use model::table;
 
-use crate::ownership::beat;
+use crate::ownership::heartbeat;
 
 /// Silence after which a node gets no new work.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(2_500);
@@ -20,7 +20,7 @@
 pub const DEAD_AFTER: Duration = Duration::from_secs(5);
 
 /// Silence after which another region counts as lost. Its summary is made every second and takes
-/// some beats to come.
+/// some heartbeats to come.
 pub const LOST_AFTER: Duration = Duration::from_secs(6);
 
 /// Time for which a node of another region is passed over after it failed to answer.
@@ -42,10 +42,10 @@
 #[derive(Clone, Debug)]
 pub struct Known {
     /// As it last described itself.
-    pub member: beat::Member,
+    pub member: heartbeat::Member,
     /// When it was last heard of here.
     pub heard: Instant,
-    /// When its description last changed here, its beats' number aside.
+    /// When its description last changed here, its heartbeats' number aside.
     pub changed: Instant,
     /// When it last failed to answer; none once it was heard of again.
     pub failed: Option<Instant>,
@@ -106,7 +106,7 @@
     }
 
     /// Takes in a description; returns whether it was news.
-    pub fn hear(&mut self, member: &beat::Member, now: Instant) -> bool {
+    pub fn hear(&mut self, member: &heartbeat::Member, now: Instant) -> bool {
         match self.known.get(&member.key.node) {
             Some(known) if !is_newer(member, known, now) => false,
             before => {
@@ -122,12 +122,13 @@
     }
 
     /// Takes in a sign of life of a member whose description is known.
-    pub fn pulse(&mut self, pulse: &beat::Pulse, now: Instant) {
-        match self.known.get_mut(&pulse.key.node) {
+    pub fn liveness(&mut self, liveness: &heartbeat::Liveness, now: Instant) {
+        match self.known.get_mut(&liveness.key.node) {
             Some(known)
-                if known.member.key == pulse.key && pulse.sequence > known.member.sequence =>
+                if known.member.key == liveness.key
+                    && liveness.sequence > known.member.sequence =>
             {
-                known.member.sequence = pulse.sequence;
+                known.member.sequence = liveness.sequence;
                 known.heard = now;
                 known.failed = None;
             }
@@ -141,17 +142,22 @@
         &self,
         since: Option<Instant>,
         most: usize,
-    ) -> (Vec<beat::Member>, Vec<beat::Pulse>) {
+    ) -> (Vec<heartbeat::Member>, Vec<heartbeat::Liveness>) {
         let is_after = |at: Instant| since.is_none_or(|since| at > since);
-        let is_news = |k: &&Known| is_after(k.changed) || (k.far.is_none() && is_after(k.heard));
-        let mut fresh: Vec<&Known> = self.known.values().filter(is_news).collect();
+        let is_newer = |k: &&Known| is_after(k.changed) || (k.far.is_none() && is_after(k.heard));
+        let mut fresh: Vec<&Known> = self.known.values().filter(is_newer).collect();
         fresh.sort_by_key(|k| std::cmp::Reverse(k.heard));
         fresh.truncate(most);
         let (changed, alive): (Vec<_>, Vec<_>) =
             fresh.into_iter().partition(|k| is_after(k.changed));
-        let pulse =
-            |k: &Known| beat::Pulse { key: k.member.key.clone(), sequence: k.member.sequence };
-        (changed.iter().map(|k| k.member.clone()).collect(), alive.into_iter().map(pulse).collect())
+        let liveness = |k: &Known| heartbeat::Liveness {
+            key: k.member.key.clone(),
+            sequence: k.member.sequence,
+        };
+        (
+            changed.iter().map(|k| k.member.clone()).collect(),
+            alive.into_iter().map(liveness).collect(),
+        )
     }
 
     /// Notes that a node did not answer.
@@ -199,7 +205,7 @@
 
     /// Returns whether a node stands in another region, and whether that region's table lists it. A
     /// region whose table is not known yet is given the benefit of the doubt.
-    fn far(&self, member: &beat::Member) -> Option<bool> {
+    fn far(&self, member: &heartbeat::Member) -> Option<bool> {
         match member.region == self.own {
             true => None,
             false => {
@@ -210,9 +216,9 @@
     }
 }
 
-/// Returns whether two descriptions say the same, the number of their beats aside.
-fn is_same(before: &beat::Member, after: &beat::Member) -> bool {
-    let before = beat::Member { sequence: after.sequence, ..before.clone() };
+/// Returns whether two descriptions say the same, the number of their heartbeats aside.
+fn is_same(before: &heartbeat::Member, after: &heartbeat::Member) -> bool {
+    let before = heartbeat::Member { sequence: after.sequence, ..before.clone() };
     before == *after
 }
 
@@ -220,7 +226,7 @@
 ///
 /// Incarnations grow with the time of day, which may have gone back; so a silent node's name may
 /// also be taken over by a smaller one.
-fn is_newer(member: &beat::Member, known: &Known, now: Instant) -> bool {
+fn is_newer(member: &heartbeat::Member, known: &Known, now: Instant) -> bool {
     let (new, old) = (&member.key.incarnation, &known.member.key.incarnation);
     match new.cmp(old) {
         std::cmp::Ordering::Equal => member.sequence > known.member.sequence,
--- a/crates/steer/src/ownership/owned.rs
+++ b/crates/steer/src/ownership/owned.rs
@@ -1,4 +1,4 @@
-//! Upstreams as their home sees them: slots, warmth and health together.
+//! Upstreams as their owner sees them: slots, slow_start and health together.
 
 use std::net;
 use std::time::Instant;
@@ -7,7 +7,7 @@
 
 use crate::ownership::health;
 use crate::ownership::ledger;
-use crate::ownership::warmth;
+use crate::ownership::slow_start;
 
 /// One upstream of this region.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     /// Whose its slots are, and which are taken.
     pub ledger: ledger::Ledger,
     /// How many of them its caches make worth using.
-    pub warmth: warmth::Warmth,
+    pub slow_start: slow_start::SlowStart,
     /// What is known against it.
     pub health: health::Health,
     /// Whether a drain or the VM list keeps new work away.
@@ -37,7 +37,7 @@
             false => 0,
             true => {
                 let slots = self.ledger.slots;
-                let most = self.warmth.limit(slots).min(self.health.limit(slots));
+                let most = self.slow_start.limit(slots).min(self.health.limit(slots));
                 self.ledger.capacity(now).min(most)
             }
         }
@@ -59,7 +59,7 @@
     pub fn cost(&self, now: Instant, baseline: Option<f64>) -> f64 {
         let limit = f64::from(self.limit(now).max(1));
         let load = f64::from(self.ledger.in_flight() + 1) / limit;
-        match (self.warmth.usual(), baseline) {
+        match (self.slow_start.usual(), baseline) {
             (Some(usual), Some(base)) if base > 0.0 => load * (usual / base).max(0.5),
             _ => load,
         }
--- a/crates/steer/src/ownership/home.rs
+++ b/crates/steer/src/ownership/owner.rs
@@ -1,4 +1,4 @@
-//! The duty of a home: exact counts of what runs at its upstreams, and a short queue before them.
+//! The duty of an owner: exact counts of what runs at its upstreams, and a short queue before them.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -11,29 +11,29 @@
 use model::verdict;
 
 use crate::ownership::action;
-use crate::ownership::beat;
+use crate::ownership::allotment;
 use crate::ownership::health;
+use crate::ownership::heartbeat;
+use crate::ownership::lease;
 use crate::ownership::ledger;
-use crate::ownership::loan;
 use crate::ownership::owned;
 use crate::ownership::queue;
 use crate::ownership::rates;
 use crate::ownership::report;
 use crate::ownership::request;
-use crate::ownership::rights;
+use crate::ownership::slow_start;
 use crate::ownership::vms;
-use crate::ownership::warmth;
 use model::upstream;
 
 /// Time for which a slot stays taken after its request was abandoned, so that the upstream has
 /// noticed the closed connection.
 pub const CANCEL_GRACE: Duration = Duration::from_millis(250);
 
-/// Time in which a loan may be used for starting work, from when it was asked for.
+/// Time in which a lease may be used for starting work, from when it was asked for.
 ///
-/// Longer than three beats, so that two lost ones do not end it; short, since a dead home's slots
+/// Longer than three heartbeats, so that two lost ones do not end it; short, since a dead owner's slots
 /// stay away for this time and a deadline more.
-pub const LOAN_TERM: Duration = Duration::from_secs(3);
+pub const LEASE_TERM: Duration = Duration::from_secs(3);
 
 /// Most requests that wait for each slot.
 const QUEUE_PER_SLOT: usize = 4;
@@ -44,16 +44,16 @@
 /// Weight of a new answer in a service's usual time.
 const WEIGHT: f64 = 0.02;
 
-/// The home's duty.
+/// The owner's duty.
 #[derive(Debug, Default)]
-pub struct Home {
+pub struct Owner {
     /// The upstreams of this region.
     pub upstreams: collections::BTreeMap<upstream::Key, owned::Upstream>,
     services: collections::BTreeMap<id::Service, Served>,
     running: collections::HashMap<request::Id, Running>,
 }
 
-/// One service at this home.
+/// One service at this owner.
 #[derive(Debug)]
 struct Served {
     spec: std::sync::Arc<service::Service>,
@@ -71,7 +71,7 @@
     deadline: Instant,
 }
 
-impl Home {
+impl Owner {
     /// Takes in a configuration.
     pub fn configure(&mut self, snapshot: &snapshot::Snapshot, region: &id::Region) {
         let is_first = self.services.is_empty();
@@ -87,7 +87,7 @@
         self.upstreams.retain(|_, u| u.is_declared || !u.ledger.is_idle());
     }
 
-    /// Computes this node's rights anew.
+    /// Computes this node's allotment anew.
     pub fn assign(
         &mut self,
         table: &table::Table,
@@ -96,9 +96,9 @@
     ) {
         for (key, upstream) in &mut self.upstreams {
             let slots = upstream.ledger.slots;
-            upstream.ledger.rights = rights::compute(table, me, key, slots, settled);
-            if upstream.ledger.rights.home() != Some(me) {
-                upstream.ledger.end_loans();
+            upstream.ledger.allotment = allotment::compute(table, me, key, slots, settled);
+            if upstream.ledger.allotment.owner() != Some(me) {
+                upstream.ledger.end_held_leases();
             }
         }
     }
@@ -174,7 +174,7 @@
     pub fn probed(&mut self, key: &upstream::Key, report: Option<&report::Report>) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         if upstream.health.probed(report) {
-            upstream.warmth = warmth::Warmth::cold();
+            upstream.slow_start = slow_start::SlowStart::cold();
         }
     }
 
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Returns what this home says of each service.
+    /// Returns what this owner says of each service.
     #[must_use]
     pub fn summaries(
         &self,
@@ -205,12 +205,12 @@
         region: &id::Region,
         sequence: u64,
         now: Instant,
-    ) -> Vec<beat::Summary> {
+    ) -> Vec<heartbeat::Summary> {
         let summary = |(name, served): (&id::Service, &Served)| {
             let of_service = self.upstreams_of(name);
             let usable = of_service.clone().map(|(_, u)| u.limit(now)).sum();
             let in_flight = of_service.map(|(_, u)| u.ledger.in_flight()).sum();
-            beat::Summary {
+            heartbeat::Summary {
                 key: key.clone(),
                 region: region.clone(),
                 service: name.clone(),
@@ -222,83 +222,85 @@
             }
         };
         let says_something =
-            |s: &beat::Summary| s.usable + s.in_flight + s.queued > 0 || !s.rates.is_empty();
+            |s: &heartbeat::Summary| s.usable + s.in_flight + s.queued > 0 || !s.rates.is_empty();
         self.services.iter().map(summary).filter(says_something).collect()
     }
 
-    /// Lends to `home` what this node does not use of the upstreams it is home of.
-    pub fn lend(&mut self, home: &member::Key, now: Instant) -> Vec<beat::Loan> {
-        let mut loans = Vec::new();
+    /// Grants to `owner` what this node does not use of the upstreams it is owner of.
+    pub fn grant(&mut self, owner: &member::Key, now: Instant) -> Vec<heartbeat::Lease> {
+        let mut leases = Vec::new();
         for (key, upstream) in &mut self.upstreams {
-            let led = upstream.ledger.rights.home() == Some(home);
-            let ranked = upstream.ledger.rights.usable > 0;
+            let led = upstream.ledger.allotment.owner() == Some(owner);
+            let ranked = upstream.ledger.allotment.usable > 0;
             if !led || !ranked {
                 continue;
             }
             let Some(served) = self.services.get(&key.service) else { continue };
             let tail = served.spec.deadline + CANCEL_GRACE;
-            let slots = upstream.ledger.lend(home, now, now + LOAN_TERM + tail);
+            let slots = upstream.ledger.grant(owner, now, now + LEASE_TERM + tail);
             if slots > 0 {
-                loans.push(beat::Loan { upstream: key.clone(), slots, tail });
+                leases.push(heartbeat::Lease { upstream: key.clone(), slots, tail });
             }
         }
-        loans
+        leases
     }
 
-    /// Takes in the loans of `lender`, asked for at `asked`.
-    pub fn borrow(
+    /// Takes in the leases of `grantor`, asked for at `asked`.
+    pub fn hold_lease(
         &mut self,
-        lender: &member::Key,
+        grantor: &member::Key,
         me: &member::Key,
-        loans: &[beat::Loan],
+        leases: &[heartbeat::Lease],
         asked: Instant,
         term: Duration,
     ) {
-        for loan in loans {
-            let terms = loan::Terms { term, tail: loan.tail };
-            match self.upstreams.get_mut(&loan.upstream) {
-                Some(upstream) if upstream.ledger.rights.home() == Some(me) => {
-                    upstream.ledger.borrow(lender, loan.slots, asked, terms);
+        for lease in leases {
+            let terms = lease::Terms { term, tail: lease.tail };
+            match self.upstreams.get_mut(&lease.upstream) {
+                Some(upstream) if upstream.ledger.allotment.owner() == Some(me) => {
+                    upstream.ledger.hold_lease(grantor, lease.slots, asked, terms);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Takes back from `home`, which is home no longer, all that it does not hold any more.
-    pub fn take_back(&mut self, home: &member::Key, held: &[beat::Loan]) {
+    /// Takes back from `owner`, which is owner no longer, all that it does not hold any more.
+    pub fn reclaim(&mut self, owner: &member::Key, held: &[heartbeat::Lease]) {
         for (key, upstream) in &mut self.upstreams {
-            if upstream.ledger.rights.home() == Some(home) {
+            if upstream.ledger.allotment.owner() == Some(owner) {
                 continue;
             }
             let slots = held.iter().find(|h| h.upstream == *key).map_or(0, |h| h.slots);
-            upstream.ledger.take_back(home, slots);
+            upstream.ledger.reclaim(owner, slots);
         }
     }
 
-    /// Returns what this node still holds of `lender` at upstreams it is no longer home of.
+    /// Returns what this node still holds of `grantor` at upstreams it is no longer owner of.
     #[must_use]
-    pub fn held(&self, me: &member::Key, lender: &member::Key) -> Vec<beat::Loan> {
+    pub fn held(&self, me: &member::Key, grantor: &member::Key) -> Vec<heartbeat::Lease> {
         let mut held = Vec::new();
         for (key, upstream) in &self.upstreams {
-            if upstream.ledger.rights.home() == Some(me) {
+            if upstream.ledger.allotment.owner() == Some(me) {
                 continue;
             }
-            let of_lender =
-                upstream.ledger.held().find(|(key, slots)| *key == lender && *slots > 0);
+            let of_lender = upstream
+                .ledger
+                .running_on_leases()
+                .find(|(key, slots)| *key == grantor && *slots > 0);
             if let Some((_, slots)) = of_lender {
                 let upstream = key.clone();
-                held.push(beat::Loan { upstream, slots, tail: Duration::ZERO });
+                held.push(heartbeat::Lease { upstream, slots, tail: Duration::ZERO });
             }
         }
         held
     }
 
-    /// Returns the nodes whose shares this node borrows.
+    /// Returns the nodes whose shares this node wants_leases.
     #[must_use]
-    pub fn lenders(&self, me: &member::Key) -> collections::BTreeSet<&member::Key> {
-        let led = self.upstreams.values().filter(|u| u.ledger.rights.home() == Some(me));
-        led.flat_map(|u| u.ledger.rights.ranked.iter().skip(1)).collect()
+    pub fn grantors(&self, me: &member::Key) -> collections::BTreeSet<&member::Key> {
+        let led = self.upstreams.values().filter(|u| u.ledger.allotment.owner() == Some(me));
+        led.flat_map(|u| u.ledger.allotment.ranked.iter().skip(1)).collect()
     }
 
     /// Returns whether every ledger fits its share of the newest epoch.
@@ -315,12 +317,12 @@
 
     /// Returns how much of its slots a service uses here, requests that wait included.
     #[must_use]
-    pub fn use_of(&self, service: &id::Service, now: Instant) -> beat::Use {
+    pub fn use_of(&self, service: &id::Service, now: Instant) -> heartbeat::Usage {
         let of_service = self.upstreams_of(service);
         let in_flight: u32 = of_service.clone().map(|(_, u)| u.ledger.in_flight()).sum();
         let queued = u32::try_from(self.queue_len(service)).unwrap_or(u32::MAX);
         let usable = of_service.map(|(_, u)| u.limit(now)).sum();
-        beat::Use { busy: in_flight.saturating_add(queued), usable }
+        heartbeat::Usage { busy: in_flight.saturating_add(queued), usable }
     }
 
     /// Returns how many requests of a service wait.
@@ -350,7 +352,7 @@
             upstream.ledger.slots = declared.slots;
             if upstream.address != declared.address {
                 upstream.address = declared.address;
-                upstream.warmth = warmth::Warmth::cold();
+                upstream.slow_start = slow_start::SlowStart::cold();
                 upstream.health = health::Health::default();
             }
         }
@@ -435,7 +437,7 @@
         match outcome {
             request::Outcome::Answered => {
                 upstream.ledger.finish(&running.source);
-                upstream.warmth.answered(latency, served.usual, upstream.ledger.slots);
+                upstream.slow_start.answered(latency, served.usual, upstream.ledger.slots);
                 upstream.health.succeeded();
                 let seconds = latency.as_secs_f64();
                 let usual = served.usual.unwrap_or(seconds);
@@ -477,7 +479,7 @@
         }
     }
 
-    /// Refuses requests that waited long enough, or whose home is elsewhere by now.
+    /// Refuses requests that waited long enough, or whose owner is elsewhere by now.
     fn expire_queue(&mut self, service: &id::Service, now: Instant, out: &mut Vec<action::Action>) {
         let capacity = self.capacity(service, now);
         let Some(served) = self.services.get_mut(service) else { return };
@@ -506,15 +508,15 @@
 
 /// Makes the state of an upstream; one that was declared before this node started counts as warm.
 fn new_upstream(declared: &model::upstream::Upstream, is_warm: bool) -> owned::Upstream {
-    let warmth = match is_warm {
-        true => warmth::Warmth::warm(),
-        false => warmth::Warmth::cold(),
+    let slow_start = match is_warm {
+        true => slow_start::SlowStart::warm(),
+        false => slow_start::SlowStart::cold(),
     };
     owned::Upstream {
         address: declared.address,
         hall: declared.hall.clone(),
-        ledger: ledger::Ledger::new(declared.slots, rights::Rights::none()),
-        warmth,
+        ledger: ledger::Ledger::new(declared.slots, allotment::Allotment::none()),
+        slow_start,
         health: health::Health::default(),
         is_drained: false,
         is_declared: true,
--- a/crates/steer/src/ownership/homes.rs
+++ b/crates/steer/src/ownership/owners.rs
@@ -8,13 +8,13 @@
 use model::service;
 use model::table;
 
-use crate::ownership::rank;
+use crate::ownership::rendezvous;
 use crate::ownership::share;
 use model::upstream;
 
-/// A node that is home of upstreams of one service.
+/// A node that is owner of upstreams of one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct Owner {
     /// The node.
     pub key: member::Key,
     /// Its face for peers.
@@ -23,19 +23,19 @@
     pub weight: u32,
 }
 
-/// Returns the homes of `service` in the region of `table`, counting only nodes that are alive.
+/// Returns the owners of `service` in the region of `table`, counting only nodes that are alive.
 ///
-/// While a home is silent, the next ranked node stands in with its own share.
+/// While an owner is silent, the next ranked node stands in with its own share.
 #[must_use]
 pub fn find(
     table: &table::Table,
     service: &service::Service,
     is_alive: &dyn Fn(&member::Key) -> bool,
-) -> Vec<Home> {
+) -> Vec<Owner> {
     let mut weights: collections::BTreeMap<&member::Key, u32> = collections::BTreeMap::new();
     for upstream in service.upstreams.iter().filter(|u| u.region == table.region) {
         let key = upstream::Key { service: service.name.clone(), upstream: upstream.name.clone() };
-        let ranked = rank::top(&key, table.listed.iter().map(|s| &s.key));
+        let ranked = rendezvous::top(&key, table.listed.iter().map(|s| &s.key));
         let ranks = ranked.len();
         let first_alive = ranked.into_iter().enumerate().find(|(_, key)| is_alive(key));
         match first_alive {
@@ -46,11 +46,11 @@
             None => {}
         }
     }
-    let home = |(key, weight): (&member::Key, u32)| {
+    let owner = |(key, weight): (&member::Key, u32)| {
         let listed = table.find(key)?;
-        Some(Home { key: key.clone(), peers: listed.peers, weight })
+        Some(Owner { key: key.clone(), peers: listed.peers, weight })
     };
-    weights.into_iter().filter_map(home).filter(|h| h.weight > 0).collect()
+    weights.into_iter().filter_map(owner).filter(|h| h.weight > 0).collect()
 }
 
 /// Returns whether `region` is named by any upstream of the service.
--- a/crates/steer/src/ownership/peering.rs
+++ b/crates/steer/src/ownership/peering.rs
@@ -1,4 +1,4 @@
-//! Peering: whom a node beats to, and when, so that its traffic does not grow with the fleet.
+//! Peering: whom a node heartbeats to, and when, so that its traffic does not grow with the fleet.
 
 use std::collections;
 use std::net;
@@ -7,25 +7,25 @@
 use model::epoch;
 use model::id;
 
-use crate::ownership::beat;
+use crate::ownership::heartbeat;
 use crate::ownership::members;
 
-/// Nodes of the own region that get a beat each time, beside lenders.
+/// Nodes of the own region that get a heartbeat each time, beside grantors.
 const NEAR: usize = 2;
 
-/// Nodes of other regions that get a beat each time.
+/// Nodes of other regions that get a heartbeat each time.
 const FAR: usize = 1;
 
-/// Longest time between two beats to a lender; three fit into a loan's term.
-const LENDER_EVERY: Duration = Duration::from_millis(900);
+/// Longest time between two heartbeats to a grantor; three fit into a lease's term.
+const GRANTOR_PERIOD: Duration = Duration::from_millis(900);
 
-/// Time between two beats to seeds that no known node answers for.
+/// Time between two heartbeats to seeds that no known node answers for.
 const SEED_EVERY: Duration = Duration::from_secs(1);
 
 /// Least time between two fetches of a configuration.
 const FETCH_EVERY: Duration = Duration::from_millis(200);
 
-/// Epoch changes remembered to tell under which epoch a beat was sent.
+/// Epoch changes remembered to tell under which epoch a heartbeat was sent.
 const REMEMBERED: usize = 8;
 
 /// Whom this node has beaten to.
@@ -39,7 +39,7 @@
     epochs: collections::VecDeque<(Instant, epoch::Epoch)>,
 }
 
-/// Where a beat goes.
+/// Where a heartbeat goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The face for peers.
@@ -63,25 +63,26 @@
         }
     }
 
-    /// Returns whom to beat to now, and notes it.
+    /// Returns whom to heartbeat to now, and notes it.
     pub fn targets(
         &mut self,
-        me: &beat::Member,
+        me: &heartbeat::Member,
         members: &members::Members,
-        lenders: &[id::Node],
+        grantors: &[id::Node],
         now: Instant,
     ) -> Vec<Target> {
         self.note_epoch(me.epoch, now);
         let others = members.iter().filter(|k| k.member.key.node != me.key.node);
-        let mut others: Vec<&beat::Member> =
+        let mut others: Vec<&heartbeat::Member> =
             others.filter(|k| !k.is_dead(now)).map(|k| &k.member).collect();
         others.sort_by_key(|m| self.sent.get(&m.key.node).copied());
-        let is_near = |m: &&&beat::Member| m.region == me.region;
+        let is_near = |m: &&&heartbeat::Member| m.region == me.region;
         let near = others.iter().filter(is_near).take(NEAR);
         let far = others.iter().filter(|m| !is_near(m)).take(FAR);
-        let lent = others.iter().filter(|m| lenders.contains(&m.key.node) && self.is_due(m, now));
+        let granted =
+            others.iter().filter(|m| grantors.contains(&m.key.node) && self.is_due(m, now));
         let mut chosen: collections::BTreeMap<id::Node, net::SocketAddr> =
-            near.chain(far).chain(lent).map(|m| (m.key.node.clone(), m.peers)).collect();
+            near.chain(far).chain(granted).map(|m| (m.key.node.clone(), m.peers)).collect();
         let known: Vec<net::SocketAddr> = others.iter().map(|m| m.peers).collect();
         let seeds = self.due_seeds(&known, now);
         for node in chosen.keys() {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Returns the epoch under which a beat was sent.
+    /// Returns the epoch under which a heartbeat was sent.
     #[must_use]
     pub fn epoch_at(&self, sent: Instant) -> epoch::Epoch {
         let before = self.epochs.iter().rev().find(|(at, _)| *at <= sent);
@@ -126,9 +127,9 @@
         }
     }
 
-    fn is_due(&self, member: &beat::Member, now: Instant) -> bool {
+    fn is_due(&self, member: &heartbeat::Member, now: Instant) -> bool {
         let sent = self.sent.get(&member.key.node);
-        sent.is_none_or(|at| now.saturating_duration_since(*at) >= LENDER_EVERY)
+        sent.is_none_or(|at| now.saturating_duration_since(*at) >= GRANTOR_PERIOD)
     }
 
     /// Returns the seeds at which no known node stands, when it is time to try them again.
--- a/crates/steer/src/ownership/planner.rs
+++ b/crates/steer/src/ownership/planner.rs
@@ -3,7 +3,7 @@
 //! A pure function of configuration and measurements, so that nodes which know the same plan the
 //! same. Regions are filled nearest first up to a margin of their usable slots; what does not fit
 //! goes on to the next nearest. When nothing has room the rest follows the capacities, and the
-//! homes refuse what they cannot hold.
+//! owners refuse what they cannot hold.
 
 use std::collections;
 
--- a/crates/steer/src/ownership/queue.rs
+++ b/crates/steer/src/ownership/queue.rs
@@ -1,4 +1,4 @@
-//! Queues: requests that wait at their home for a slot, in fair turn of their places.
+//! Queues: requests that wait at their owner for a slot, in fair turn of their places.
 
 use std::collections;
 use std::time::Instant;
--- a/crates/steer/src/ownership/rank.rs
+++ b/crates/steer/src/ownership/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: which nodes are homes of an upstream, in order.
+//! Rendezvous hashing: which nodes are owners of an upstream, in order.
 //!
 //! Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998): every node
 //! gets a score from a hash of both names, and the highest scores win. A node that joins or leaves
@@ -12,7 +12,7 @@
 /// Nodes that hold a share of an upstream's slots.
 pub const RANKS: usize = 3;
 
-/// Returns the nodes that hold shares of `upstream`, the home first.
+/// Returns the nodes that hold shares of `upstream`, the owner first.
 #[must_use]
 pub fn top<'a>(
     upstream: &upstream::Key,
--- a/crates/steer/src/ownership/request.rs
+++ b/crates/steer/src/ownership/request.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u64);
 
-/// A request that wants a slot of this home.
+/// A request that wants a slot of this owner.
 #[derive(Clone, Debug)]
 pub struct Offer {
     /// The request.
@@ -21,7 +21,7 @@
     pub deadline: Instant,
     /// Upstreams that earlier tries used.
     pub avoid: Vec<id::Upstream>,
-    /// Whether it may wait here for a slot; otherwise other homes are asked first.
+    /// Whether it may wait here for a slot; otherwise other owners are asked first.
     pub may_wait: bool,
 }
 
--- a/crates/steer/src/ownership/retry.rs
+++ b/crates/steer/src/ownership/retry.rs
@@ -5,7 +5,7 @@
 
 use crate::ownership::budget;
 
-/// Most times one request is sent to a home, beside homes that had no slot free at once.
+/// Most times one request is sent to an owner, beside owners that had no slot free at once.
 pub const MOST_TRIES: u32 = 3;
 
 /// Decides on one more try of a request that was tried `tries` times.
@@ -20,7 +20,7 @@
 ) -> bool {
     use verdict::{Reason, Verdict};
     match (failure.verdict, failure.reason) {
-        // Another home is asked, and the last one lets it wait.
+        // Another owner is asked, and the last one lets it wait.
         (Verdict::NotRun, Reason::Busy) => true,
         _ if tries >= MOST_TRIES => false,
         (Verdict::NotRun, Reason::NotHome | Reason::NotReady) => true,
--- a/crates/steer/src/ownership/lane.rs
+++ b/crates/steer/src/ownership/rotation.rs
@@ -1,4 +1,4 @@
-//! Lanes: one place's requests for one service, with the split they follow.
+//! Rotations: one place's requests for one service, with the split they follow.
 
 use std::time::Instant;
 
@@ -6,20 +6,20 @@
 
 use crate::common::ramp;
 use crate::common::split;
-use crate::ownership::wheel;
+use crate::ownership::round_robin;
 
-/// The moving split of one lane and the turn of its regions.
+/// The moving split of one rotation and the turn of its regions.
 #[derive(Clone, Debug)]
-pub struct Lane {
+pub struct Rotation {
     ramp: ramp::Limiter,
-    wheel: wheel::Wheel,
+    round_robin: round_robin::RoundRobin,
 }
 
-impl Lane {
-    /// Makes a lane that stands at `position`.
+impl Rotation {
+    /// Makes a rotation that stands at `position`.
     #[must_use]
     pub fn new(position: split::Split) -> Self {
-        Self { ramp: ramp::Limiter::new(position), wheel: wheel::Wheel::default() }
+        Self { ramp: ramp::Limiter::new(position), round_robin: round_robin::RoundRobin::default() }
     }
 
     /// Returns where the split stands.
@@ -30,7 +30,7 @@
 
     /// Returns the region of the next request.
     pub fn next_region(&mut self) -> Option<id::Region> {
-        self.wheel.turn(self.ramp.position())
+        self.round_robin.turn(self.ramp.position())
     }
 
     /// Moves the split toward `target` as the limit allows.
--- a/crates/steer/src/ownership/wheel.rs
+++ b/crates/steer/src/ownership/round_robin.rs
@@ -13,11 +13,11 @@
 
 /// The credits of one place's requests for one service.
 #[derive(Clone, Debug, Default)]
-pub struct Wheel {
+pub struct RoundRobin {
     credits: collections::BTreeMap<id::Region, i64>,
 }
 
-impl Wheel {
+impl RoundRobin {
     /// Returns the region of the next request under `split`; none when the split is empty.
     pub fn turn(&mut self, split: &split::Split) -> Option<id::Region> {
         for (region, share) in split.parts() {
--- a/crates/steer/src/ownership/router.rs
+++ b/crates/steer/src/ownership/router.rs
@@ -1,4 +1,4 @@
-//! The duty of an entry: which region, by the split, and which home there, by its load.
+//! The duty of an entry: which region, by the split, and which owner there, by its load.
 
 use std::collections;
 use std::time::{Duration, Instant, SystemTime};
@@ -13,13 +13,13 @@
 use crate::common::ramp;
 use crate::common::split;
 use crate::ownership::action;
-use crate::ownership::beat;
 use crate::ownership::budget;
-use crate::ownership::homes;
-use crate::ownership::lane;
+use crate::ownership::heartbeat;
+use crate::ownership::owners;
 use crate::ownership::planner;
 use crate::ownership::request;
 use crate::ownership::retry;
+use crate::ownership::rotation;
 use crate::ownership::summaries;
 
 /// Usual time of an answer before one was measured, in seconds.
@@ -28,16 +28,16 @@
 /// Homes of its own region that an entry asks for a slot that is free at once.
 const PROBES: usize = 3;
 
-/// When a caller may ask again after no home could be reached: nodes are suspected, and regional
+/// When a caller may ask again after no owner could be reached: nodes are suspected, and regional
 /// tables rewritten, within about this time.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// The entry's duty.
 #[derive(Debug, Default)]
 pub struct Router {
-    lanes: collections::BTreeMap<(id::Service, id::Place), lane::Lane>,
-    homes: collections::BTreeMap<(id::Service, id::Region), Vec<homes::Home>>,
-    /// What homes and regions told of themselves.
+    rotations: collections::BTreeMap<(id::Service, id::Place), rotation::Rotation>,
+    owners: collections::BTreeMap<(id::Service, id::Region), Vec<owners::Owner>>,
+    /// What owners and regions told of themselves.
     pub summaries: summaries::Summaries,
     routed: collections::HashMap<request::Id, Routed>,
     budgets: collections::BTreeMap<id::Service, budget::Budget>,
@@ -45,7 +45,7 @@
     told: collections::BTreeMap<(id::Service, id::Node), Told>,
 }
 
-/// What a home told last of its use, less what this entry had out there.
+/// What an owner told last of its use, less what this entry had out there.
 #[derive(Clone, Copy, Debug)]
 struct Told {
     others: u32,
@@ -53,12 +53,12 @@
     at: Instant,
 }
 
-/// A request that is out at a home.
+/// A request that is out at an owner.
 #[derive(Debug)]
 struct Routed {
     service: id::Service,
     region: Option<id::Region>,
-    home: Option<id::Node>,
+    owner: Option<id::Node>,
     tried: Vec<id::Node>,
     /// Homes that had no slot free at once.
     busy: usize,
@@ -66,7 +66,7 @@
     so_far: verdict::Verdict,
 }
 
-/// A request that wants a region and a home.
+/// A request that wants a region and an owner.
 #[derive(Clone, Debug)]
 pub struct Ask {
     /// The request.
@@ -91,28 +91,28 @@
 }
 
 impl Router {
-    /// Takes in a home's summary.
-    pub fn hear(&mut self, summary: &beat::Summary, now: Instant) {
+    /// Takes in an owner's summary.
+    pub fn hear(&mut self, summary: &heartbeat::Summary, now: Instant) {
         if self.summaries.hear(summary, now) {
             let busy = summary.in_flight + summary.queued;
-            let usage = beat::Use { busy, usable: summary.usable };
+            let usage = heartbeat::Usage { busy, usable: summary.usable };
             self.used(&summary.key.node, &summary.service, usage, now);
         }
     }
 
-    /// Finds the homes of every service anew.
-    pub fn find_homes(
+    /// Finds the owners of every service anew.
+    pub fn find_owners(
         &mut self,
         snapshot: &snapshot::Snapshot,
         tables: &collections::BTreeMap<id::Region, std::sync::Arc<table::Table>>,
         is_alive: &dyn Fn(&member::Key) -> bool,
     ) {
-        self.homes.clear();
+        self.owners.clear();
         for stored in snapshot.services.values() {
             for (region, table) in tables {
-                let homes = homes::find(table, &stored.spec, is_alive);
-                if !homes.is_empty() {
-                    self.homes.insert((stored.spec.name.clone(), region.clone()), homes);
+                let owners = owners::find(table, &stored.spec, is_alive);
+                if !owners.is_empty() {
+                    self.owners.insert((stored.spec.name.clone(), region.clone()), owners);
                 }
             }
         }
@@ -130,7 +130,7 @@
         let routed = Routed {
             service: ask.service,
             region,
-            home: None,
+            owner: None,
             tried: Vec::new(),
             busy: 0,
             so_far: verdict::Verdict::NotRun,
@@ -138,18 +138,24 @@
         self.send(ask.request, routed, view, out);
     }
 
-    /// Notes how much of its slots a service uses at a home, as it told with an answer.
-    pub fn used(&mut self, home: &id::Node, service: &id::Service, usage: beat::Use, now: Instant) {
-        let own = self.outstanding(service, home);
+    /// Notes how much of its slots a service uses at an owner, as it told with an answer.
+    pub fn used(
+        &mut self,
+        owner: &id::Node,
+        service: &id::Service,
+        usage: heartbeat::Usage,
+        now: Instant,
+    ) {
+        let own = self.outstanding(service, owner);
         let others = usage.busy.saturating_sub(own);
-        let key = (service.clone(), home.clone());
+        let key = (service.clone(), owner.clone());
         self.told.insert(key, Told { others, usable: usage.usable, at: now });
     }
 
-    /// Returns the home that a request was sent to last.
+    /// Returns the owner that a request was sent to last.
     #[must_use]
-    pub fn home_of(&self, request: request::Id) -> Option<&id::Node> {
-        self.routed.get(&request).and_then(|routed| routed.home.as_ref())
+    pub fn owner_of(&self, request: request::Id) -> Option<&id::Node> {
+        self.routed.get(&request).and_then(|routed| routed.owner.as_ref())
     }
 
     /// Notes that a routed request is over.
@@ -179,7 +185,7 @@
         }
     }
 
-    /// Plans every lane's target and moves its split toward it.
+    /// Plans every rotation's target and moves its split toward it.
     pub fn plan(&mut self, view: &View<'_>) {
         for stored in view.snapshot.services.values() {
             let measured = self.measure(&stored.spec, view);
@@ -187,36 +193,39 @@
             let demands = demands(&stored.spec, &measured, view);
             for (place, target) in planner::plan(&measured.capacities, &demands) {
                 let key = (stored.spec.name.clone(), place);
-                let lane = self.lanes.entry(key).or_insert_with(|| lane::Lane::new(target.clone()));
-                lane.advance(&target, limit, view.now);
+                let rotation = self
+                    .rotations
+                    .entry(key)
+                    .or_insert_with(|| rotation::Rotation::new(target.clone()));
+                rotation.advance(&target, limit, view.now);
             }
         }
         let known =
             |(service, _): &(id::Service, id::Place)| view.snapshot.services.contains_key(service);
-        self.lanes.retain(|key, _| known(key));
+        self.rotations.retain(|key, _| known(key));
         self.summaries.forget(view.now);
         self.outstanding.retain(|_, count| *count > 0);
         self.told
-            .retain(|_, told| view.now.saturating_duration_since(told.at) < summaries::HOME_LIFE);
+            .retain(|_, told| view.now.saturating_duration_since(told.at) < summaries::OWNER_LIFE);
     }
 
-    /// Starts a lane where a peer's stands; one that has a position already keeps it.
-    pub fn adopt(&mut self, position: &beat::Position) {
+    /// Starts a rotation where a peer's stands; one that has a position already keeps it.
+    pub fn adopt(&mut self, position: &heartbeat::Position) {
         let key = (position.service.clone(), position.place.clone());
-        let start = || lane::Lane::new(position.split.clone());
-        self.lanes.entry(key).or_insert_with(start);
+        let start = || rotation::Rotation::new(position.split.clone());
+        self.rotations.entry(key).or_insert_with(start);
     }
 
     /// Returns where every split stands.
-    pub fn positions(&self) -> impl Iterator<Item = beat::Position> {
-        self.lanes.iter().map(|((service, place), lane)| beat::Position {
+    pub fn positions(&self) -> impl Iterator<Item = heartbeat::Position> {
+        self.rotations.iter().map(|((service, place), rotation)| heartbeat::Position {
             service: service.clone(),
             place: place.clone(),
-            split: lane.position().clone(),
+            split: rotation.position().clone(),
         })
     }
 
-    /// Returns how many requests are out at homes.
+    /// Returns how many requests are out at owners.
     #[must_use]
     pub fn load(&self) -> usize {
         self.routed.len()
@@ -245,8 +254,8 @@
         }
         for (region, capacity) in &mut measured.capacities {
             let declared = declared_slots(service, region, view);
-            let has_homes = self.homes.contains_key(&(service.name.clone(), region.clone()));
-            match (reported.contains(region), has_homes) {
+            let has_owners = self.owners.contains_key(&(service.name.clone(), region.clone()));
+            match (reported.contains(region), has_owners) {
                 (true, true) => *capacity = capacity.min(declared),
                 // Nothing was said yet, as when a fleet starts: the declaration stands.
                 (false, true) => *capacity = declared,
@@ -263,8 +272,8 @@
         view: &View<'_>,
     ) -> Option<id::Region> {
         let key = (service.clone(), place.clone());
-        let first = || lane::Lane::new(first_position(service, place, view));
-        self.lanes.entry(key).or_insert_with(first).next_region()
+        let first = || rotation::Rotation::new(first_position(service, place, view));
+        self.rotations.entry(key).or_insert_with(first).next_region()
     }
 
     fn send(
@@ -274,24 +283,24 @@
         view: &View<'_>,
         out: &mut Vec<action::Action>,
     ) {
-        let Some((region, home, may_wait)) = self.pick(&routed, view) else {
+        let Some((region, owner, may_wait)) = self.pick(&routed, view) else {
             let failure = verdict::Failure::not_run(verdict::Reason::NoRegion).after(RETRY_AFTER);
             let failure = failure.after_tries(routed.so_far);
             return out.push(action::Action::Refuse { request, failure });
         };
-        let node = &home.key.node;
+        let node = &owner.key.node;
         *self.outstanding.entry((routed.service.clone(), node.clone())).or_insert(0) += 1;
-        routed.home = Some(node.clone());
+        routed.owner = Some(node.clone());
         routed.tried.push(node.clone());
         self.routed.insert(request, routed);
-        let homes::Home { key: home, peers, .. } = home;
-        out.push(action::Action::Forward { request, region, home, peers, may_wait });
+        let owners::Owner { key: owner, peers, .. } = owner;
+        out.push(action::Action::Forward { request, region, owner, peers, may_wait });
     }
 
     fn take(&mut self, request: request::Id) -> Option<Routed> {
         let routed = self.routed.remove(&request)?;
-        if let Some(home) = &routed.home {
-            let key = (routed.service.clone(), home.clone());
+        if let Some(owner) = &routed.owner {
+            let key = (routed.service.clone(), owner.clone());
             if let Some(count) = self.outstanding.get_mut(&key) {
                 *count = count.saturating_sub(1);
             }
@@ -299,36 +308,36 @@
         Some(routed)
     }
 
-    /// Returns the home in the request's region that has the least work for its slots, and whether
+    /// Returns the owner in the request's region that has the least work for its slots, and whether
     /// the request may wait there.
     ///
-    /// Homes that were not tried come first. In its own region an entry asks up to [`PROBES`] homes
+    /// Homes that were not tried come first. In its own region an entry asks up to [`PROBES`] owners
     /// for a slot that is free at once before it lets the request wait at the least loaded. Another
     /// region is too far for that; there the node it is sent to does so.
-    fn pick(&self, routed: &Routed, view: &View<'_>) -> Option<(id::Region, homes::Home, bool)> {
+    fn pick(&self, routed: &Routed, view: &View<'_>) -> Option<(id::Region, owners::Owner, bool)> {
         let region = routed.region.clone()?;
-        let homes = self.homes.get(&(routed.service.clone(), region.clone()))?;
-        let may_wait = region != *view.region || routed.busy >= PROBES.min(homes.len() - 1);
-        let was_tried = |home: &homes::Home| {
+        let owners = self.owners.get(&(routed.service.clone(), region.clone()))?;
+        let may_wait = region != *view.region || routed.busy >= PROBES.min(owners.len() - 1);
+        let was_tried = |owner: &owners::Owner| {
             let is_waiting = may_wait && routed.busy > 0;
-            !is_waiting && routed.tried.contains(&home.key.node)
+            !is_waiting && routed.tried.contains(&owner.key.node)
         };
-        let cost = |home: &homes::Home| self.cost(&routed.service, home, view.now);
-        let best = homes.iter().min_by(|a, b| {
+        let cost = |owner: &owners::Owner| self.cost(&routed.service, owner, view.now);
+        let best = owners.iter().min_by(|a, b| {
             was_tried(a).cmp(&was_tried(b)).then_with(|| cost(a).total_cmp(&cost(b)))
         })?;
         Some((region, best.clone(), may_wait))
     }
 
-    /// Returns the use that one more request would bring a home to.
+    /// Returns the use that one more request would bring an owner to.
     ///
     /// What this entry sent is counted exactly; what others sent is known from the last summary.
-    fn cost(&self, service: &id::Service, home: &homes::Home, now: Instant) -> f64 {
-        let key = (service.clone(), home.key.node.clone());
+    fn cost(&self, service: &id::Service, owner: &owners::Owner, now: Instant) -> f64 {
+        let key = (service.clone(), owner.key.node.clone());
         let own = self.outstanding.get(&key).copied().unwrap_or(0);
         let told = self.told.get(&key);
-        let fresh = told.filter(|t| now.saturating_duration_since(t.at) < summaries::HOME_LIFE);
-        let (others, usable) = fresh.map_or((0, home.weight), |t| (t.others, t.usable));
+        let fresh = told.filter(|t| now.saturating_duration_since(t.at) < summaries::OWNER_LIFE);
+        let (others, usable) = fresh.map_or((0, owner.weight), |t| (t.others, t.usable));
         f64::from(own + others + 1) / f64::from(usable).max(0.1)
     }
 
@@ -366,7 +375,7 @@
     let caps = view.snapshot.caps.values();
     let cap = caps.into_iter().find(|c| c.spec.service == service.name);
     let lead = cap.map_or(Duration::ZERO, |c| {
-        // The ramp uses a little less than the cap, and plans once a beat.
+        // The ramp uses a little less than the cap, and plans once a heartbeat.
         c.spec.time_to_move(fraction::Fraction::ONE) + c.spec.window
     });
     let soon = |d: &model::drain::Drain| d.start <= view.wall + lead && view.wall < d.end;
@@ -387,7 +396,7 @@
     let in_use: f64 = measured.in_use.values().sum();
     let seconds = if rate > 0.1 { (in_use / rate).max(0.001) } else { FIRST_GUESS };
     let demand = |place: &model::place::Place| {
-        let served = place.nearest().into_iter().filter(|l| homes::serves(service, &l.region));
+        let served = place.nearest().into_iter().filter(|l| owners::serves(service, &l.region));
         let links = served.map(|link| {
             let limit = link.limit.map_or(f64::INFINITY, |limit| f64::from(limit) * seconds);
             (link.region.clone(), limit)
@@ -407,7 +416,7 @@
     Some(ramp::Limit::of(&cap.spec, is_lost))
 }
 
-/// Returns where a lane starts that neither planner nor peer has placed: the nearest region.
+/// Returns where a rotation starts that neither planner nor peer has placed: the nearest region.
 fn first_position(service: &id::Service, place: &id::Place, view: &View<'_>) -> split::Split {
     let Some(service) = view.snapshot.services.get(service) else {
         return split::Split::default();
@@ -416,7 +425,7 @@
     let nearest = place.into_iter().flat_map(|p| p.nearest()).map(|l| &l.region);
     let any = service.spec.upstreams.iter().map(|u| &u.region);
     let mut wished = nearest.chain([view.region]).chain(any);
-    match wished.find(|region| homes::serves(&service.spec, region)) {
+    match wished.find(|region| owners::serves(&service.spec, region)) {
         Some(region) => split::Split::new(&[(region.clone(), 1.0)]),
         None => split::Split::default(),
     }
--- a/crates/steer/src/ownership/share.rs
+++ b/crates/steer/src/ownership/share.rs
@@ -3,7 +3,7 @@
 //! The shares of one epoch add up to the slots, so that nodes which cannot hear each other never
 //! use more than there are, whatever each believes.
 
-/// Returns the share of the node at `rank` (the home is 0) of `slots`, with `ranks` nodes ranked.
+/// Returns the share of the node at `rank` (the owner is 0) of `slots`, with `ranks` nodes ranked.
 ///
 /// Each rank takes half of what the ranks before it left, rounded up; the last takes the rest:
 /// 6 slots are 3, 2, 1 and 3 slots are 2, 1, 0.
--- a/crates/steer/src/ownership/warmth.rs
+++ b/crates/steer/src/ownership/slow_start.rs
@@ -1,4 +1,4 @@
-//! Warmth: how many slots of an upstream are worth using while its caches are cold.
+//! SlowStart: how many slots of an upstream are worth using while its caches are cold.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 
 /// What one upstream has shown since it was last cold.
 #[derive(Clone, Copy, Debug)]
-pub struct Warmth {
+pub struct SlowStart {
     limit: u32,
     good: u32,
     usual: Option<f64>,
 }
 
-impl Warmth {
+impl SlowStart {
     /// Makes the state of an upstream that is cold, as far as is known.
     #[must_use]
     pub fn cold() -> Self {
--- a/crates/steer/src/ownership/summaries.rs
+++ b/crates/steer/src/ownership/summaries.rs
@@ -1,4 +1,4 @@
-//! Summaries: what homes and regions tell of their slots and arrivals.
+//! Summaries: what owners and regions tell of their slots and arrivals.
 //!
 //! Homes' summaries stay inside their region, where every node sums them up; regions' summaries go
 //! everywhere.
@@ -9,10 +9,10 @@
 use model::id;
 use model::member;
 
-use crate::ownership::beat;
+use crate::ownership::heartbeat;
 
-/// Age at which a home's summary says nothing any more.
-pub const HOME_LIFE: Duration = Duration::from_secs(4);
+/// Age at which an owner's summary says nothing any more.
+pub const OWNER_LIFE: Duration = Duration::from_secs(4);
 
 /// Age at which a region's summary says nothing any more.
 const REGION_LIFE: Duration = Duration::from_secs(6);
@@ -26,7 +26,7 @@
 /// Summaries that were heard.
 #[derive(Debug, Default)]
 pub struct Summaries {
-    homes: collections::BTreeMap<(id::Service, member::Key), Heard>,
+    owners: collections::BTreeMap<(id::Service, member::Key), Heard>,
     regions: collections::BTreeMap<(id::Service, id::Region), Heard>,
     summed: Option<Instant>,
 }
@@ -34,18 +34,18 @@
 /// A summary and when it was heard.
 #[derive(Debug)]
 struct Heard {
-    summary: beat::Summary,
+    summary: heartbeat::Summary,
     at: Instant,
 }
 
 impl Summaries {
-    /// Takes in a home's summary; returns whether it was news.
-    pub fn hear(&mut self, summary: &beat::Summary, now: Instant) -> bool {
+    /// Takes in an owner's summary; returns whether it was news.
+    pub fn hear(&mut self, summary: &heartbeat::Summary, now: Instant) -> bool {
         let key = (summary.service.clone(), summary.key.clone());
-        match self.homes.get(&key) {
+        match self.owners.get(&key) {
             Some(heard) if heard.summary.sequence >= summary.sequence => false,
             _ => {
-                self.homes.insert(key, Heard { summary: summary.clone(), at: now });
+                self.owners.insert(key, Heard { summary: summary.clone(), at: now });
                 true
             }
         }
@@ -53,16 +53,16 @@
 
     /// Returns the summaries that came after `since`, the latest `most` of them, to pass on.
     #[must_use]
-    pub fn news(&self, since: Option<Instant>, most: usize) -> Vec<beat::Summary> {
-        let is_news = |heard: &&Heard| since.is_none_or(|since| heard.at > since);
-        let mut news: Vec<&Heard> = self.homes.values().filter(is_news).collect();
+    pub fn news(&self, since: Option<Instant>, most: usize) -> Vec<heartbeat::Summary> {
+        let is_newer = |heard: &&Heard| since.is_none_or(|since| heard.at > since);
+        let mut news: Vec<&Heard> = self.owners.values().filter(is_newer).collect();
         news.sort_by_key(|heard| std::cmp::Reverse(heard.at));
         news.truncate(most);
         news.into_iter().map(|heard| heard.summary.clone()).collect()
     }
 
     /// Takes in the summary of a whole region; returns whether it was news.
-    pub fn hear_region(&mut self, summary: &beat::Summary, now: Instant) -> bool {
+    pub fn hear_region(&mut self, summary: &heartbeat::Summary, now: Instant) -> bool {
         let key = (summary.service.clone(), summary.region.clone());
         match self.regions.get(&key) {
             Some(heard) if heard.summary.sequence >= summary.sequence => false,
@@ -76,23 +76,23 @@
     /// Sums up this node's own region, now and then.
     ///
     /// Every node of the region does so. The results are ordered as by Lamport's clock: each takes
-    /// the number after the greatest it has heard of, so that a sum without a home that died is
+    /// the number after the greatest it has heard of, so that a sum without an owner that died is
     /// newer than the sums before it.
-    pub fn sum_up(&mut self, me: &beat::Member, now: Instant) {
+    pub fn sum_up(&mut self, me: &heartbeat::Member, now: Instant) {
         let recent = |at: Instant| now.saturating_duration_since(at) < SUM_EVERY;
         if self.summed.is_some_and(recent) {
             return;
         }
         self.summed = Some(now);
-        let mut sums: collections::BTreeMap<id::Service, beat::Summary> =
+        let mut sums: collections::BTreeMap<id::Service, heartbeat::Summary> =
             collections::BTreeMap::new();
-        let is_fresh = |h: &&Heard| now.saturating_duration_since(h.at) <= HOME_LIFE;
-        let homes = self.homes.values().filter(is_fresh).map(|h| &h.summary);
-        for summary in homes.filter(|s| s.region == me.region) {
+        let is_fresh = |h: &&Heard| now.saturating_duration_since(h.at) <= OWNER_LIFE;
+        let owners = self.owners.values().filter(is_fresh).map(|h| &h.summary);
+        for summary in owners.filter(|s| s.region == me.region) {
             match sums.get_mut(&summary.service) {
                 Some(sum) => add(sum, summary),
                 None => {
-                    let sum = beat::Summary { key: me.key.clone(), ..summary.clone() };
+                    let sum = heartbeat::Summary { key: me.key.clone(), ..summary.clone() };
                     sums.insert(summary.service.clone(), sum);
                 }
             }
@@ -106,13 +106,13 @@
 
     /// Returns the regions' summaries that came after `since`, to pass on.
     #[must_use]
-    pub fn regional_news(&self, since: Option<Instant>) -> Vec<beat::Summary> {
-        let is_news = |heard: &&Heard| since.is_none_or(|since| heard.at > since);
-        self.regions.values().filter(is_news).map(|heard| heard.summary.clone()).collect()
+    pub fn regional_updates(&self, since: Option<Instant>) -> Vec<heartbeat::Summary> {
+        let is_newer = |heard: &&Heard| since.is_none_or(|since| heard.at > since);
+        self.regions.values().filter(is_newer).map(|heard| heard.summary.clone()).collect()
     }
 
     /// Returns the regions' summaries that still count.
-    pub fn fresh_regions(&self, now: Instant) -> impl Iterator<Item = &beat::Summary> {
+    pub fn fresh_regions(&self, now: Instant) -> impl Iterator<Item = &heartbeat::Summary> {
         let fresh = move |h: &&Heard| now.saturating_duration_since(h.at) <= REGION_LIFE;
         self.regions.values().filter(fresh).map(|heard| &heard.summary)
     }
@@ -122,7 +122,7 @@
         &'a self,
         service: &'a id::Service,
         now: Instant,
-    ) -> impl Iterator<Item = (&'a beat::Summary, bool)> {
+    ) -> impl Iterator<Item = (&'a heartbeat::Summary, bool)> {
         let first = (service.clone(), id::Region::new(""));
         let of_service = self.regions.range(first..);
         let of_service = of_service.take_while(move |((name, _), _)| name == service);
@@ -133,17 +133,17 @@
     /// Forgets what is too old to say anything.
     pub fn forget(&mut self, now: Instant) {
         let age = |heard: &Heard| now.saturating_duration_since(heard.at);
-        self.homes.retain(|_, heard| age(heard) < HOME_LIFE);
+        self.owners.retain(|_, heard| age(heard) < OWNER_LIFE);
         self.regions.retain(|_, heard| age(heard) < RATES_LIFE);
     }
 }
 
-/// Adds a home's summary to its region's.
-fn add(sum: &mut beat::Summary, home: &beat::Summary) {
-    sum.usable += home.usable;
-    sum.in_flight += home.in_flight;
-    sum.queued += home.queued;
-    for (place, rate) in &home.rates {
+/// Adds an owner's summary to its region's.
+fn add(sum: &mut heartbeat::Summary, owner: &heartbeat::Summary) {
+    sum.usable += owner.usable;
+    sum.in_flight += owner.in_flight;
+    sum.queued += owner.queued;
+    for (place, rate) in &owner.rates {
         match sum.rates.iter_mut().find(|(other, _)| other == place) {
             Some((_, total)) => *total += rate,
             None => sum.rates.push((place.clone(), *rate)),
--- a/crates/steer/tests/caps.rs
+++ b/crates/steer/tests/caps.rs
@@ -9,7 +9,7 @@
 use steer::common::ramp;
 use steer::common::split::Split;
 use steer::ownership::planner;
-use steer::ownership::wheel::Wheel;
+use steer::ownership::round_robin::RoundRobin;
 
 const REGIONS: [&str; 4] = ["a", "b", "c", "d"];
 
@@ -38,10 +38,10 @@
     fn holds(weights: Vec<u8>, turns: u16) -> bool {
         let turns = turns % 1_000;
         let split = split(&weights);
-        let mut wheel = Wheel::default();
+        let mut round_robin = RoundRobin::default();
         let mut counts: BTreeMap<id::Region, f64> = BTreeMap::new();
         for _ in 0..turns {
-            if let Some(region) = wheel.turn(&split) {
+            if let Some(region) = round_robin.turn(&split) {
                 *counts.entry(region).or_insert(0.0) += 1.0;
             }
         }
--- a/crates/steer/tests/core.rs
+++ b/crates/steer/tests/core.rs
@@ -16,9 +16,9 @@
 use model::table::Table;
 use model::upstream;
 use steer::ownership::action::Action;
-use steer::ownership::beat::Member;
 use steer::ownership::core::Core;
 use steer::ownership::event::Event;
+use steer::ownership::heartbeat::Member;
 use steer::ownership::report::Report;
 use steer::ownership::request::{Id, Offer, Outcome};
 use steer::ownership::vms;
@@ -51,7 +51,7 @@
 }
 
 impl Node {
-    /// Starts a node that is home of one upstream with four slots.
+    /// Starts a node that is owner of one upstream with four slots.
     fn start() -> Self {
         let (now, wall) = (Instant::now(), SystemTime::now());
         let me = Member {
--- a/crates/steer/tests/fleet/coverage.rs
+++ b/crates/steer/tests/fleet/coverage.rs
@@ -6,11 +6,11 @@
 /// What must be met by some case.
 const ALL: [&str; 15] = [
     "run",
-    "run on a loan",
+    "run on a lease",
     "run while another node is paused",
     "run while links are cut",
     "run while the store is away",
-    "run in doubt, by a node that is not home",
+    "run in doubt, by a node that is not owner",
     "queued",
     "refused",
     "paused with requests in flight",
--- a/crates/steer/tests/fleet/main.rs
+++ b/crates/steer/tests/fleet/main.rs
@@ -3,7 +3,7 @@
 //! A case is a list of steps. Nodes exchange messages through a list which the steps reorder and
 //! drop; nodes are paused, killed and started, links are cut, the store goes away and loses
 //! answers. After every step no upstream may hold more requests than it has slots, and once all is
-//! healed every home must have all its slots again.
+//! healed every owner must have all its slots again.
 
 mod coverage;
 mod oracle;
@@ -92,7 +92,7 @@
     }
 }
 
-/// A home that gives an upstream back to a node that returns starts nothing more on its loans.
+/// An owner that gives an upstream back to a node that returns starts nothing more on its leases.
 #[test]
 fn a_hand_over_ends_the_loans_of_the_old_home() {
     for node in 0..5 {
--- a/crates/steer/tests/fleet/world.rs
+++ b/crates/steer/tests/fleet/world.rs
@@ -17,11 +17,11 @@
 use model::table;
 use model::upstream;
 use steer::ownership::action;
-use steer::ownership::beat;
 use steer::ownership::core;
 use steer::ownership::event;
-use steer::ownership::home;
+use steer::ownership::heartbeat;
 use steer::ownership::ledger;
+use steer::ownership::owner;
 use steer::ownership::request;
 use steer::ownership::vms;
 
@@ -42,7 +42,7 @@
 const TICK: Duration = Duration::from_millis(100);
 
 /// Time in which a healed region must have all its slots again: the silence after which nodes are
-/// dead, a loan with its tail, the tail of departed nodes, and turns of the registrar.
+/// dead, a lease with its tail, the tail of departed nodes, and turns of the maintainer.
 const RECOVERY: Duration = Duration::from_secs(40);
 
 const REGION: &str = "dakar";
@@ -58,15 +58,15 @@
 }
 
 enum Message {
-    Beat { from: (usize, u64), to: usize, beat: Box<beat::Request>, made: Instant },
-    Reply { from: usize, to: (usize, u64), reply: Box<beat::Reply>, made: Instant },
+    Heartbeat { from: (usize, u64), to: usize, heartbeat: Box<heartbeat::Request>, made: Instant },
+    Reply { from: usize, to: (usize, u64), reply: Box<heartbeat::Reply>, made: Instant },
     Fetch { from: (usize, u64), to: usize },
 }
 
 impl Message {
     fn ends(&self) -> (usize, usize) {
         match self {
-            Self::Beat { from, to, .. } | Self::Fetch { from, to } => (from.0, *to),
+            Self::Heartbeat { from, to, .. } | Self::Fetch { from, to } => (from.0, *to),
             Self::Reply { from, to, .. } => (*from, to.0),
         }
     }
@@ -237,9 +237,9 @@
             return;
         }
         match message {
-            Message::Beat { from, to, beat, made } => match self.nodes[to].core {
+            Message::Heartbeat { from, to, heartbeat, made } => match self.nodes[to].core {
                 Some(_) => {
-                    let reply = self.tell(to, event::Event::Beat { beat });
+                    let reply = self.tell(to, event::Event::Heartbeat { heartbeat });
                     if let Some(reply) = reply {
                         self.messages.push(Message::Reply { from: to, to: from, reply, made });
                     }
@@ -261,7 +261,7 @@
 
     fn lose(&mut self, message: &Message) {
         match message {
-            Message::Beat { from, to, .. } => self.unanswered(*from, *to),
+            Message::Heartbeat { from, to, .. } => self.unanswered(*from, *to),
             Message::Reply { from, to, .. } => self.unanswered(*to, *from),
             Message::Fetch { .. } => {}
         }
@@ -273,14 +273,14 @@
         }
     }
 
-    /// Hands an event to a node that runs, and does what it asks; returns its reply to a beat.
-    fn tell(&mut self, number: usize, event: event::Event) -> Option<Box<beat::Reply>> {
+    /// Hands an event to a node that runs, and does what it asks; returns its reply to a heartbeat.
+    fn tell(&mut self, number: usize, event: event::Event) -> Option<Box<heartbeat::Reply>> {
         let sim = &mut self.nodes[number];
         let core = sim.core.as_mut().filter(|_| !sim.is_paused)?;
         let before = core.me.epoch;
         let mut actions = Vec::new();
         core.handle(event, self.now, &mut actions);
-        let changed = core.me.epoch != before && core.home.load() > 0;
+        let changed = core.me.epoch != before && core.owner.load() > 0;
         self.met.note_if(changed, "epoch changed with requests in flight");
         let mut reply = None;
         for action in actions {
@@ -295,9 +295,9 @@
     fn act(&mut self, number: usize, action: action::Action) {
         let from = (number, self.nodes[number].start);
         match action {
-            action::Action::Beat { to, beat, .. } => {
+            action::Action::Heartbeat { to, heartbeat, .. } => {
                 let (to, made) = (node_at(to), self.now);
-                self.messages.push(Message::Beat { from, to, beat, made });
+                self.messages.push(Message::Heartbeat { from, to, heartbeat, made });
             }
             action::Action::Fetch { from: at } => {
                 self.messages.push(Message::Fetch { from, to: node_at(at) });
@@ -331,7 +331,7 @@
 
     fn queued(&self, number: usize) -> usize {
         let service = id::Service::new(SERVICE);
-        self.nodes[number].core.as_ref().map_or(0, |c| c.home.queue_len(&service))
+        self.nodes[number].core.as_ref().map_or(0, |c| c.owner.queue_len(&service))
     }
 
     fn run(&mut self, number: usize, request: request::Id, upstream: &id::Upstream) {
@@ -340,7 +340,7 @@
         let asked = usize::try_from(request.0).expect("requests are few");
         let deadline = self.deadlines[asked];
         self.nodes[number].running.insert(request, deadline);
-        let until = deadline + home::CANCEL_GRACE;
+        let until = deadline + owner::CANCEL_GRACE;
         let held = oracle::Held { node: (number, self.nodes[number].start), request, until };
         let slots = usize::try_from(SLOTS[index]).expect("slots are few");
         if let Err(broken) = self.oracle.begin(upstream, held, slots) {
@@ -358,11 +358,11 @@
         let Some(core) = &self.nodes[number].core else { return };
         let key =
             model::upstream::Key { service: id::Service::new(SERVICE), upstream: upstream.clone() };
-        let Some(ledger) = core.home.upstreams.get(&key).map(|u| &u.ledger) else { return };
-        let in_doubt = ledger.rights.home() != Some(&core.me.key);
-        let on_loan = ledger.held().any(|(_, slots)| slots > 0);
-        self.met.note_if(in_doubt, "run in doubt, by a node that is not home");
-        self.met.note_if(on_loan, "run on a loan");
+        let Some(ledger) = core.owner.upstreams.get(&key).map(|u| &u.ledger) else { return };
+        let in_doubt = ledger.allotment.owner() != Some(&core.me.key);
+        let on_loan = ledger.running_on_leases().any(|(_, slots)| slots > 0);
+        self.met.note_if(in_doubt, "run in doubt, by a node that is not owner");
+        self.met.note_if(on_loan, "run on a lease");
     }
 
     fn finish(&mut self, which: u16) {
@@ -378,7 +378,7 @@
             return;
         }
         self.met.note("abandoned");
-        self.oracle.give_up(held.node, held.request, self.now + home::CANCEL_GRACE);
+        self.oracle.give_up(held.node, held.request, self.now + owner::CANCEL_GRACE);
         self.end(&held, request::Outcome::Abandoned);
     }
 
@@ -488,7 +488,7 @@
 
     // The end.
 
-    /// Heals everything and expects every upstream's slots to be usable again, by its home alone.
+    /// Heals everything and expects every upstream's slots to be usable again, by its owner alone.
     fn recover(&mut self) -> Result<(), String> {
         self.cuts.clear();
         self.is_store_up = true;
@@ -529,7 +529,7 @@
             upstream: id::Upstream::new(&index.to_string()),
         };
         let core = self.nodes[number].core.as_ref();
-        let upstream = core.and_then(|core| core.home.upstreams.get(&key));
+        let upstream = core.and_then(|core| core.owner.upstreams.get(&key));
         upstream.map_or(0, |u: &steer::ownership::owned::Upstream| {
             let ledger: &ledger::Ledger = &u.ledger;
             ledger.capacity(self.now)
@@ -572,8 +572,8 @@
     }
 }
 
-fn member(number: usize, start: u64) -> beat::Member {
-    beat::Member {
+fn member(number: usize, start: u64) -> heartbeat::Member {
+    heartbeat::Member {
         key: member::Key { node: name(number), incarnation: start },
         region: id::Region::new(REGION),
         hall: id::Hall::new("dakar-1"),
