--- a/crates/node/src/owner/decider.rs
+++ b/crates/node/src/owner/decider.rs
@@ -205,7 +205,7 @@
         let Some((id, decision)) = decisions::decision(action) else { return };
         let unheard = match self.waiting.remove(&id) {
             Some(Waiting { reply, offered }) => {
-                let usage = offered.map(|service| self.core.owner.use_of(&service, now));
+                let usage = offered.map(|service| self.core.owner.usage(&service, now));
                 reply.send((decision, usage.unwrap_or_default())).err().map(|(d, _)| d)
             }
             None => Some(decision),
--- a/crates/node/src/owner/operators/dump.rs
+++ b/crates/node/src/owner/operators/dump.rs
@@ -200,7 +200,7 @@
         region: known.member.region.clone(),
         is_alive: core.is_alive(&known.member.key, now),
         is_leaving: known.member.is_leaving,
-        silent_ms: now.saturating_duration_since(known.heard).as_millis(),
+        silent_ms: now.saturating_duration_since(known.last_seen).as_millis(),
         revision: known.member.revision.0,
         epoch: known.member.epoch.0,
         settled: known.member.settled.0,
@@ -221,7 +221,7 @@
             in_flight: u.ledger.in_flight(),
             is_drained: u.is_drained,
             is_usable: u.health.is_usable(now),
-            usual_ms: u.slow_start.usual().map(|seconds| seconds * 1_000.0),
+            usual_ms: u.slow_start.latency().seconds().map(|seconds| seconds * 1_000.0),
         };
     core.owner.upstreams.iter().map(upstream).collect()
 }
--- a/crates/steer/src/ownership/action.rs
+++ b/crates/steer/src/ownership/action.rs
@@ -1,4 +1,6 @@
 //! Actions: what the decisions ask the process to do.
+//!
+//! Owns the closed set of outputs of [`Core`](crate::ownership::core::Core). Relies on nothing.
 
 use std::net;
 use std::sync;
@@ -22,7 +24,7 @@
         region: id::Region,
         /// The owner; this node itself when it is one.
         owner: member::Key,
-        /// The owner's face for peers.
+        /// Where the owner listens for peers.
         peers: net::SocketAddr,
         /// Whether the request may wait there for a slot.
         may_wait: bool,
@@ -36,7 +38,7 @@
         /// Where it listens.
         address: net::SocketAddr,
     },
-    /// Tell whoever asked that the request does not run here.
+    /// Refuse a request; it does not run here.
     Refuse {
         /// The request.
         request: request::Id,
@@ -52,7 +54,7 @@
         /// The heartbeat.
         heartbeat: Box<heartbeat::Request>,
     },
-    /// Answer the heartbeat that was handed in with the same event.
+    /// Reply to the heartbeat of the event that is being handled.
     Reply {
         /// The answer.
         reply: Box<heartbeat::Reply>,
--- a/crates/steer/src/ownership/allotment.rs
+++ b/crates/steer/src/ownership/allotment.rs
@@ -1,5 +1,8 @@
 //! Allotment: how many slots of an upstream a node may use by itself, whatever others believe.
 //!
+//! It is the node's share, less what another node may still use under another table. Owns the rule and
+//! its argument. Relies on [`rendezvous`] for the ranks and on [`share`] for their slots.
+//!
 //! Let `W` be the epochs from the lowest that any listed node may still act on up to the newest
 //! that this node knows. Two rules, of which the more generous holds:
 //!
@@ -20,7 +23,7 @@
 use crate::ownership::share;
 use model::upstream;
 
-/// Shares of one upstream over the epochs that still count.
+/// What one node may use of one upstream, and who ranks for it.
 #[derive(Clone, Debug)]
 pub struct Allotment {
     /// This node's share in the newest epoch.
@@ -32,7 +35,7 @@
 }
 
 impl Allotment {
-    /// Returns the allotment of a node that knows no table.
+    /// Returns the allotment of a node that knows no table: nothing.
     #[must_use]
     pub fn none() -> Self {
         Self { share: 0, usable: 0, ranked: Vec::new() }
@@ -47,7 +50,7 @@
 
 /// Computes the allotment of `me` at an upstream with `slots`.
 ///
-/// `settled` tells the lowest epoch a node may still act on, as far as is known.
+/// `settled` returns the lowest epoch that a node may still act on, as far as is known.
 pub fn compute(
     table: &table::Table,
     me: &member::Key,
--- /dev/null
+++ b/crates/steer/src/ownership/core/mod.rs
@@ -0,0 +1,248 @@
+//! The core: one node's decisions, driven by events.
+//!
+//! Owns all that a node decides with: its configuration, the regions' tables, the known nodes, its
+//! work as an [`owner`] of upstreams and as an entry ([`router`]). Performs no input or output and
+//! reads no clock: an event and a time go in, actions come out.
+//!
+//! [`adoption`] applies configurations and tables, [`exchange`] makes and answers heartbeats,
+//! [`upkeep`] does what is done with every heartbeat.
+
+mod adoption;
+mod exchange;
+mod upkeep;
+
+use std::collections;
+use std::net;
+use std::sync;
+use std::time::{Duration, Instant, SystemTime};
+
+use model::check;
+use model::id;
+use model::member;
+use model::revision;
+use model::snapshot;
+use model::table;
+use model::verdict;
+
+use crate::ownership::action;
+use crate::ownership::event;
+use crate::ownership::heartbeat;
+use crate::ownership::maintenance;
+use crate::ownership::members;
+use crate::ownership::owner;
+use crate::ownership::peering;
+use crate::ownership::request;
+use crate::ownership::router;
+use crate::ownership::vms;
+
+pub use upkeep::HEARTBEAT_PERIOD;
+
+/// Time for which a starting node waits for peers before it believes that there are none.
+///
+/// Not measured; four heartbeats of a peer.
+const DISCOVERY_TIME: Duration = Duration::from_secs(2);
+
+/// The decisions of one node.
+#[derive(Debug)]
+pub struct Core {
+    /// This node, as it describes itself.
+    pub me: heartbeat::Member,
+    /// The configuration it acts on.
+    pub snapshot: sync::Arc<snapshot::Snapshot>,
+    /// The tables it knows, by region.
+    pub tables: collections::BTreeMap<id::Region, sync::Arc<table::Table>>,
+    /// The nodes it knows.
+    pub members: members::Members,
+    /// The upstreams of its region, and the requests there.
+    pub owner: owner::Owner,
+    /// The requests that entered here.
+    pub router: router::Router,
+    maintainer: maintenance::Maintainer,
+    peering: peering::Peering,
+    vms: vms::List,
+    wall: SystemTime,
+    started: Instant,
+    last_heartbeat: Option<Instant>,
+    has_positions: bool,
+    has_stored_table: bool,
+    /// Whether a table or a configuration came that owners and allotments do not follow yet.
+    is_stale: bool,
+    alive: Vec<member::Key>,
+}
+
+impl Core {
+    /// Makes the core of a node that starts now.
+    #[must_use]
+    pub fn new(
+        me: heartbeat::Member,
+        seeds: Vec<net::SocketAddr>,
+        now: Instant,
+        wall: SystemTime,
+    ) -> Self {
+        let peering = peering::Peering::new(seeds, me.peers);
+        Self {
+            members: members::Members::new(me.region.clone()),
+            me,
+            snapshot: sync::Arc::default(),
+            tables: collections::BTreeMap::new(),
+            owner: owner::Owner::default(),
+            router: router::Router::default(),
+            maintainer: maintenance::Maintainer::default(),
+            peering,
+            vms: vms::List::default(),
+            wall,
+            started: now,
+            last_heartbeat: None,
+            has_positions: false,
+            has_stored_table: false,
+            is_stale: true,
+            alive: Vec::new(),
+        }
+    }
+
+    /// Applies an event and pushes what is to be done.
+    pub fn handle(&mut self, event: event::Event, now: Instant, out: &mut Vec<action::Action>) {
+        match event {
+            event::Event::Configure { snapshot } => self.configure(snapshot),
+            event::Event::Adopt { table, is_stored } => self.adopt(table, is_stored),
+            event::Event::Vms { list } => self.apply_vms(list),
+            event::Event::Route { request, service, place, region } => {
+                let ask = router::Ask { request, service, place, region };
+                self.route(ask, now, out);
+            }
+            event::Event::Used { owner, service, usage } => {
+                self.router.record_usage(&owner, &service, usage, now);
+            }
+            event::Event::Returned { request } => self.router.returned(request),
+            event::Event::Failed { request, failure, repetition } => {
+                if failure.reason == verdict::Reason::NotReady {
+                    self.suspect_owner(request, now);
+                }
+                self.with_router(now, |router, view| {
+                    router.failed(request, failure, repetition, view, out);
+                });
+            }
+            event::Event::Offer { offer } => self.owner.offer(offer, now, out),
+            event::Event::Done { request, outcome } => {
+                self.owner.complete(request, outcome, now, out);
+            }
+            event::Event::Withdraw { request } => self.owner.withdraw(request, now, out),
+            event::Event::Probed { upstream, report } => {
+                self.owner.probed(&upstream, report.as_ref());
+            }
+            event::Event::Heartbeat { heartbeat } => {
+                let reply = Box::new(self.answer(&heartbeat, now, out));
+                out.push(action::Action::Reply { reply });
+            }
+            event::Event::Replied { reply, sent } => self.replied(&reply, sent, now, out),
+            event::Event::Unanswered { node } => self.unanswered(&node, now),
+            event::Event::Stop => self.me.is_leaving = true,
+            event::Event::Tick { wall } => self.tick(wall, now, out),
+        }
+        // Allotments and owners must never lag behind the epoch and revision this node claims.
+        if self.is_stale {
+            self.refresh(now);
+        }
+    }
+
+    /// Returns whether this node may serve callers.
+    #[must_use]
+    pub fn is_ready(&self, now: Instant) -> bool {
+        let is_informed = self.has_positions || self.has_discovered(now);
+        self.snapshot.revision > revision::Revision(0) && is_informed
+    }
+
+    /// Returns whether a stopping node has handed everything over.
+    #[must_use]
+    pub fn is_done(&self) -> bool {
+        let table = self.tables.get(&self.me.region);
+        let listed = table.is_some_and(|t| t.find(&self.me.key).is_some());
+        !listed && self.owner.load() == 0 && self.router.load() == 0
+    }
+
+    /// Returns the nodes that hold a lower revision than this one, by name.
+    #[must_use]
+    pub fn lagging(&self, revision: revision::Revision, now: Instant) -> Vec<id::Node> {
+        let alive = self.members.alive(now).map(|k| &k.member);
+        alive.filter(|m| m.revision < revision).map(|m| m.key.node.clone()).collect()
+    }
+
+    /// Returns the slots in use by each service in each region.
+    #[must_use]
+    pub fn in_use(&self, now: Instant) -> collections::BTreeMap<id::Service, check::facts::Use> {
+        let mut in_use: collections::BTreeMap<_, check::facts::Use> = collections::BTreeMap::new();
+        for summary in self.router.summaries.fresh_regions(now) {
+            let of_service = in_use.entry(summary.service.clone()).or_default();
+            of_service.insert(summary.region.clone(), summary.in_flight);
+        }
+        in_use
+    }
+
+    /// Returns what the planner would work from now, by service.
+    #[must_use]
+    pub fn measured(&self, now: Instant) -> collections::BTreeMap<id::Service, router::Measured> {
+        self.with_view(now, |view| {
+            let services = self.snapshot.services.values();
+            services.map(|s| (s.spec.name.clone(), self.router.measure(&s.spec, view))).collect()
+        })
+    }
+
+    /// Returns whether a node may be given work; this one always may.
+    #[must_use]
+    pub fn is_alive(&self, key: &member::Key, now: Instant) -> bool {
+        *key == self.me.key || self.members.incarnation(key).is_some_and(|k| k.is_alive(now))
+    }
+
+    /// Returns whether it has waited long enough for peers to believe that silent ones are not there.
+    fn has_discovered(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.started) >= DISCOVERY_TIME
+    }
+
+    fn route(&mut self, ask: router::Ask, now: Instant, out: &mut Vec<action::Action>) {
+        match self.is_ready(now) {
+            true => self.with_router(now, |router, view| router.route(ask, view, out)),
+            false => {
+                let failure = verdict::Failure::not_run(verdict::Reason::NotReady);
+                let failure = failure.after(DISCOVERY_TIME);
+                out.push(action::Action::Refuse { request: ask.request, failure });
+            }
+        }
+    }
+
+    /// Stops giving work to an owner that could not be reached, until it is seen again.
+    ///
+    /// It has nothing outstanding, so it would look like the least loaded of all.
+    fn suspect_owner(&mut self, request: request::Id, now: Instant) {
+        if let Some(owner) = self.router.owner_of(request).cloned() {
+            self.unanswered(&owner, now);
+        }
+    }
+
+    /// Suspects a node that did not answer.
+    fn unanswered(&mut self, node: &id::Node, now: Instant) {
+        self.members.record_failure(node, now);
+        self.refresh(now);
+    }
+
+    fn with_router(
+        &mut self,
+        now: Instant,
+        work: impl FnOnce(&mut router::Router, &router::View<'_>),
+    ) {
+        let mut router = std::mem::take(&mut self.router);
+        self.with_view(now, |view| work(&mut router, view));
+        self.router = router;
+    }
+
+    /// Shows what routing and planning read.
+    fn with_view<T>(&self, now: Instant, look: impl FnOnce(&router::View<'_>) -> T) -> T {
+        let is_lost = |region: &id::Region| self.members.is_lost(region, now);
+        look(&router::View {
+            snapshot: &self.snapshot,
+            is_lost: &is_lost,
+            region: &self.me.region,
+            now,
+            wall: self.wall,
+        })
+    }
+}
--- a/crates/steer/src/ownership/event.rs
+++ b/crates/steer/src/ownership/event.rs
@@ -1,4 +1,6 @@
-//! Events: what the process tells the decisions.
+//! Events: what happened outside, as the decisions take it.
+//!
+//! Owns the closed set of inputs of [`Core`](crate::ownership::core::Core). Relies on nothing.
 
 use std::sync;
 use std::time::{Instant, SystemTime};
@@ -51,16 +53,16 @@
         /// The request.
         request: request::Id,
     },
-    /// An owner told how much of its slots a service uses.
+    /// An owner reported how much of its slots a service uses.
     Used {
         /// The owner.
         owner: id::Node,
         /// The service.
         service: id::Service,
-        /// What it told.
+        /// The report.
         usage: heartbeat::Usage,
     },
-    /// A routed request failed at its owner; it is routed again, or refused for good.
+    /// A routed request failed at its owner; it is routed again, or refused.
     Failed {
         /// The request.
         request: request::Id,
--- a/crates/steer/src/ownership/health.rs
+++ b/crates/steer/src/ownership/health.rs
@@ -1,30 +1,31 @@
-//! Health: what probes and outcomes say against an upstream.
+//! Health: whether probes and outcomes allow new work at an upstream.
 //!
-//! Reports may lag or mislead, so they only ever lower trust: a good report never raises what the
-//! owner would do without it.
+//! Ejects an outlier after some failures in a row, for a time that doubles. Reports may lag or mislead,
+//! so they can only lower the limit: a good report never raises what the owner would do without it.
+//! Owns the counts. Relies on nothing.
 
 use std::time::{Duration, Instant};
 
 use crate::ownership::report;
 
-/// Failures in a row after which an upstream is left alone for a while.
+/// Failures in a row after which an upstream is ejected. Not measured.
 const FAILURES: u32 = 3;
 
-/// Time for which it is left alone the first time; it doubles up to [`LONGEST`].
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
+/// Time of the first ejection; it doubles up to [`LONGEST_EJECTION`]. Not measured.
+const FIRST_EJECTION: Duration = Duration::from_secs(1);
 
-/// Longest time for which it is left alone.
-const LONGEST: Duration = Duration::from_secs(30);
+/// Longest ejection. Not measured.
+const LONGEST_EJECTION: Duration = Duration::from_secs(30);
 
-/// Unanswered probes in a row after which an upstream that nobody uses is not chosen.
+/// Unanswered probes in a row after which an upstream gets no new work. Not measured; three seconds.
 const MISSED_PROBES: u32 = 3;
 
-/// What is known against one upstream.
+/// Failures, probes and reports of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     failures: u32,
-    pauses: u32,
-    paused_until: Option<Instant>,
+    ejections: u32,
+    ejected_until: Option<Instant>,
     missed_probes: u32,
     reported_slots: Option<u32>,
     uptime_ms: Option<u64>,
@@ -35,8 +36,8 @@
     /// Returns whether new work may be sent at `now`.
     #[must_use]
     pub fn is_usable(&self, now: Instant) -> bool {
-        let paused = self.paused_until.is_some_and(|until| now < until);
-        !paused && !self.is_leaving && self.missed_probes < MISSED_PROBES
+        let is_ejected = self.ejected_until.is_some_and(|until| now < until);
+        !is_ejected && !self.is_leaving && self.missed_probes < MISSED_PROBES
     }
 
     /// Returns the most slots the upstream's own report leaves, of `slots`.
@@ -45,26 +46,26 @@
         self.reported_slots.unwrap_or(slots).min(slots)
     }
 
-    /// Notes an answer.
+    /// Records an answer.
     pub fn succeeded(&mut self) {
         self.failures = 0;
-        self.pauses = 0;
+        self.ejections = 0;
     }
 
-    /// Notes a failure; returns whether the upstream is left alone from now on.
-    pub fn failed(&mut self, now: Instant) -> bool {
+    /// Records a failure; the upstream may be ejected from `now` on.
+    pub fn failed(&mut self, now: Instant) {
         self.failures += 1;
         if self.failures < FAILURES {
-            return false;
+            return;
         }
-        let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.pauses.min(8));
-        self.paused_until = Some(now + pause.min(LONGEST));
-        self.pauses += 1;
+        let ejection = FIRST_EJECTION * 2_u32.saturating_pow(self.ejections.min(8));
+        self.ejected_until = Some(now + ejection.min(LONGEST_EJECTION));
+        self.ejections += 1;
+        // After the ejection one more failure ejects it again.
         self.failures = FAILURES - 1;
-        true
     }
 
-    /// Notes the outcome of a probe; returns whether the upstream started anew since the last.
+    /// Records the outcome of a probe; returns whether the upstream was restarted since the last.
     pub fn probed(&mut self, report: Option<&report::Report>) -> bool {
         let Some(report) = report else {
             self.missed_probes = self.missed_probes.saturating_add(1);
--- a/crates/steer/src/ownership/heartbeat.rs
+++ b/crates/steer/src/ownership/heartbeat.rs
@@ -1,4 +1,7 @@
-//! Heartbeats: what two nodes tell each other at every exchange.
+//! Heartbeats: the messages of an exchange between two nodes.
+//!
+//! Owns their form inside the process; `node::owner::peers` translates it to the wire. Relies on nothing
+//! but ids and tables.
 
 use std::collections;
 use std::net;
@@ -23,11 +26,11 @@
     pub region: id::Region,
     /// Its hall.
     pub hall: id::Hall,
-    /// Its face for callers.
+    /// Where it listens for callers.
     pub callers: net::SocketAddr,
-    /// Its face for peers.
+    /// Where it listens for peers.
     pub peers: net::SocketAddr,
-    /// Its face for operators.
+    /// Where it listens for operators.
     pub operators: net::SocketAddr,
     /// Grows with each heartbeat of that incarnation.
     pub sequence: u64,
@@ -41,10 +44,10 @@
     pub is_leaving: bool,
 }
 
-/// The standing of one service at one owner, or summed over a region.
+/// The state of one service at one owner, or summed over a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
-    /// The owner; whoever summed it up, for a region.
+    /// The owner, or the node that summed a region up.
     pub key: member::Key,
     /// Its region.
     pub region: id::Region,
@@ -62,7 +65,7 @@
     pub rates: Vec<(id::Place, u32)>,
 }
 
-/// How much of its slots a service uses at one owner, told with every answer.
+/// How much of its slots a service uses at one owner, sent with every answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Requests that hold a slot or wait for one.
@@ -71,7 +74,7 @@
     pub usable: u32,
 }
 
-/// Slots of one upstream that the sender will not use for a while.
+/// Slots of one upstream that the sender grants and does not use for a while.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// The upstream.
@@ -93,31 +96,31 @@
     pub split: split::Split,
 }
 
-/// The first half of an exchange.
+/// The request of an exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// The sender.
     pub sender: Member,
-    /// What it has learned of others.
+    /// What it knows of others, as far as it changed.
     pub update: Update,
     /// The newest tables it knows, by region.
     pub epochs: collections::BTreeMap<id::Region, epoch::Epoch>,
-    /// Whether it asks for the receiver's shares of the upstreams it is owner of.
+    /// Whether it asks for the receiver's slots of the upstreams that it owns.
     pub wants_leases: bool,
-    /// What it still holds of leases for upstreams it is no longer owner of.
+    /// Leases in use for upstreams that it no longer owns.
     pub held: Vec<Lease>,
-    /// Whether it wants to know where the receiver's splits stand.
+    /// Whether it asks for the positions of the receiver's splits.
     pub wants_positions: bool,
 }
 
-/// The second half of an exchange.
+/// The reply of an exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    /// The receiver.
+    /// The node that replies.
     pub sender: Member,
-    /// What it has learned of others.
+    /// What it knows of others, as far as it changed.
     pub update: Update,
-    /// Its leases.
+    /// The leases that it grants.
     pub leases: Vec<Lease>,
     /// Time in which work may start on the leases.
     pub term: Duration,
@@ -125,21 +128,21 @@
     pub positions: Vec<Position>,
 }
 
-/// A sign of life of a member whose description the receiver has.
+/// The liveness counter of a member whose description the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Liveness {
     /// Which incarnation of which node.
     pub key: member::Key,
-    /// Its latest heartbeat.
+    /// The number of its latest heartbeat.
     pub sequence: u64,
 }
 
-/// What a node passes on.
+/// What changed since the receiver was last updated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
-    /// Members whose descriptions changed lately.
+    /// Members whose descriptions changed.
     pub members: Vec<Member>,
-    /// Members of the region that sender and receiver share, heard of lately.
+    /// Members of the region that sender and receiver share, whose counters advanced.
     pub liveness: Vec<Liveness>,
     /// Summaries of owners of the region that sender and receiver share.
     pub summaries: Vec<Summary>,
--- a/crates/steer/src/ownership/ledger.rs
+++ b/crates/steer/src/ownership/ledger.rs
@@ -1,4 +1,7 @@
-//! The ledger of one upstream: whose its slots are, and which are taken.
+//! The ledger of one upstream: which slots this node may use, and which are taken.
+//!
+//! Owns the exact counts. Relies on [`allotment`] for the slots of this node itself and on [`lease`] for
+//! those that it holds or has granted. Nothing is started here beyond the sum of both.
 
 use std::collections;
 use std::time::Instant;
@@ -8,12 +11,12 @@
 use crate::ownership::allotment;
 use crate::ownership::lease;
 
-/// Whose slot a request holds.
+/// Where the slot of a request is from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// One that this node has by right.
+    /// This node's own allotment.
     Own,
-    /// One that another node granted.
+    /// A lease of this grantor.
     Lease(member::Key),
 }
 
@@ -22,10 +25,10 @@
 pub struct Ledger {
     /// Slots the upstream has.
     pub slots: u32,
-    /// This node's allotment by itself.
+    /// The slots that this node may use by itself.
     pub allotment: allotment::Allotment,
     running: u32,
-    cooling: Vec<(Instant, Source)>,
+    abandoned: Vec<(Instant, Source)>,
     held: collections::BTreeMap<member::Key, lease::Held>,
     granted: collections::BTreeMap<member::Key, lease::Granted>,
 }
@@ -38,13 +41,13 @@
             slots,
             allotment,
             running: 0,
-            cooling: Vec::new(),
+            abandoned: Vec::new(),
             held: collections::BTreeMap::new(),
             granted: collections::BTreeMap::new(),
         }
     }
 
-    /// Returns how many requests may run now, by right and by lease.
+    /// Returns how many requests may run now, on the allotment and on leases.
     #[must_use]
     pub fn capacity(&self, now: Instant) -> u32 {
         let own = self.allotment.usable.saturating_sub(self.granted_slots(now));
@@ -57,7 +60,7 @@
         self.running + self.held.values().map(|b| b.running).sum::<u32>()
     }
 
-    /// Returns whose slot a request with this deadline could take.
+    /// Returns the slot that a request with this deadline could take.
     #[must_use]
     pub fn room(&self, now: Instant, deadline: Instant) -> Option<Source> {
         let own = self.allotment.usable.saturating_sub(self.granted_slots(now));
@@ -94,22 +97,21 @@
 
     /// Gives a slot back at `until`, when an abandoned request must have ended at the upstream.
     pub fn abandon(&mut self, source: Source, until: Instant) {
-        self.cooling.push((until, source));
+        self.abandoned.push((until, source));
     }
 
-    /// Forgets what has passed; returns whether a slot came free.
-    pub fn expire(&mut self, now: Instant) -> bool {
-        let cooled: Vec<Source> = self
-            .cooling
+    /// Frees the slots of abandoned requests that have ended, and forgets leases that are over.
+    pub fn expire(&mut self, now: Instant) {
+        let ended: Vec<Source> = self
+            .abandoned
             .extract_if(.., |(until, _)| *until <= now)
             .map(|(_, source)| source)
             .collect();
-        for source in &cooled {
+        for source in &ended {
             self.finish(source);
         }
         self.granted.retain(|_, granted| granted.expire(now));
-        self.held.retain(|_, held| held.expire(now));
-        !cooled.is_empty()
+        self.held.retain(|_, held| held.is_live(now));
     }
 
     /// Grants all that is free to `owner` until `until`; returns the slots granted.
@@ -118,19 +120,19 @@
         let others: u32 = others.map(|(_, granted)| granted.slots(now)).sum();
         let free = self.allotment.usable.saturating_sub(self.running + others);
         if free > 0 {
-            self.granted.entry(owner.clone()).or_default().promise(free, until);
+            self.granted.entry(owner.clone()).or_default().add(free, until);
         }
         free
     }
 
-    /// Takes back from `owner` all but `held` slots, by its own word.
+    /// Ends the grants to `owner` but for the `held` slots that it reports to be in use.
     pub fn reclaim(&mut self, owner: &member::Key, held: u32) {
         if let Some(granted) = self.granted.get_mut(owner) {
             granted.limit(held);
         }
     }
 
-    /// Notes a lease from `grantor`, asked for at `asked`, which is before its promise began.
+    /// Holds a lease of `grantor`, asked for at `asked`, which is before its grant began.
     pub fn hold_lease(
         &mut self,
         grantor: &member::Key,
@@ -153,13 +155,13 @@
         self.held.iter().map(|(grantor, held)| (grantor, held.running))
     }
 
-    /// Returns the slots promised to others.
+    /// Returns the slots granted to others.
     #[must_use]
     pub fn granted_slots(&self, now: Instant) -> u32 {
         self.granted.values().map(|l| l.slots(now)).sum()
     }
 
-    /// Returns the slots that others promised.
+    /// Returns the slots that others granted.
     #[must_use]
     pub fn held_slots(&self, now: Instant) -> u32 {
         self.held.values().map(|b| b.slots(now)).sum()
--- a/crates/steer/src/ownership/maintenance.rs
+++ b/crates/steer/src/ownership/maintenance.rs
@@ -1,7 +1,8 @@
-//! The maintainer: when a region's table in the store is to be rewritten, and how.
+//! Table maintenance: when a region's table in the store is rewritten, and how.
 //!
 //! Every node of the region runs it; the first by name acts at once and each after it a little
-//! later, so that one is enough. Two that act at once race by compare-and-swap and one wins.
+//! later, so that one is enough. Two that act at once race by compare-and-swap and one wins. Owns the
+//! turn and the proofs that departed nodes have ended. Relies on [`members`] and on the VM list.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -13,16 +14,16 @@
 use crate::ownership::members;
 use crate::ownership::vms;
 
-/// Time that each node waits longer than the one before it by name.
+/// Time that each node waits longer than the one before it by name. Not measured.
 const TURN: Duration = Duration::from_millis(1_000);
 
-/// Least time between two proposals of one node.
+/// Least time between two proposals of one node. Not measured.
 const PAUSE: Duration = Duration::from_millis(1_000);
 
-/// Earlier epochs in a table from which one is rewritten just to be shorter.
+/// Earlier epochs in a table from which one is rewritten just to be shorter. Not measured.
 const LONG_PAST: usize = 4;
 
-/// The maintainer's memory.
+/// Maintains the table of this node's region.
 #[derive(Debug, Default)]
 pub struct Maintainer {
     wanted_since: Option<Instant>,
@@ -30,7 +31,7 @@
     ends: collections::BTreeMap<member::Key, Instant>,
 }
 
-/// What the maintainer looks at.
+/// What a decision on the table reads.
 #[derive(Debug)]
 pub struct View<'a> {
     /// The region's newest known table.
@@ -41,7 +42,7 @@
     pub members: &'a members::Members,
     /// The VM list.
     pub vms: &'a vms::List,
-    /// Since when this node has listened; a listed node it never heard of is not judged before.
+    /// When this node started; a listed node that it does not know is not taken off soon after.
     pub started: Instant,
     /// Time after which nothing a stopped node sent can still run.
     pub tail: Duration,
@@ -75,7 +76,7 @@
         Some(known.next(&joins, &leaves, &ended))
     }
 
-    /// Returns departed nodes that are proved to have ended, and have been for the tail's time.
+    /// Returns departed nodes that have settled, or whose end is proved for as long as the tail.
     fn ended(&mut self, view: &View<'_>) -> Vec<member::Key> {
         let mut ended = Vec::new();
         for departed in &view.table.departed {
@@ -124,17 +125,17 @@
 
 /// Returns the listed nodes that are leaving, replaced, gone or long silent.
 fn leaves(view: &View<'_>) -> Vec<member::Key> {
-    let listened = view.now.saturating_duration_since(view.started);
+    let running_for = view.now.saturating_duration_since(view.started);
     let leaves = |listed: &&member::Listed| match view.members.get(&listed.key.node) {
         Some(known) if known.member.key != listed.key => true,
         Some(known) if known.member.is_leaving => true,
         Some(known) => known.is_dead(view.now),
-        None => listened >= members::DEAD_AFTER,
+        None => running_for >= members::DEAD_AFTER,
     };
     view.table.listed.iter().filter(leaves).map(|s| s.key.clone()).collect()
 }
 
-/// Returns the table with what its nodes have said of themselves since it was written.
+/// Returns the table with the epochs that its nodes have settled on since it was written.
 fn with_settled(view: &View<'_>) -> table::Table {
     let mut table = view.table.clone();
     let known = |key: &member::Key| view.members.incarnation(key).map(|k| k.member.settled);
--- a/crates/steer/src/ownership/members.rs
+++ b/crates/steer/src/ownership/members.rs
@@ -1,8 +1,10 @@
-//! Members: the nodes that are known, and when each was last heard of.
+//! Members: the nodes that are known, and when each was last seen.
 //!
-//! Nodes of the own region pass signs of life of each other on, and a silent one is suspected. For a
-//! node of another region its region's table speaks, so that the traffic of a node does not grow
-//! with the fleet; it is passed over for a while when it fails to answer.
+//! Nodes of one region forward each other's liveness counters, and a silent node is suspected. Nodes of
+//! other regions count as alive while their region's table lists them, so that the traffic of a node
+//! does not grow with the fleet (docs/DECISIONS.md); one that fails to answer gets no work for a while.
+//!
+//! Owns the descriptions and the times. Relies on [`heartbeat`] for what nodes describe.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -13,20 +15,21 @@
 
 use crate::ownership::heartbeat;
 
-/// Silence after which a node gets no new work.
+/// Silence after which a node gets no new work. Not measured; five heartbeats.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(2_500);
 
-/// Silence after which a node may be taken off its region's table.
+/// Silence after which a node may be taken off its region's table. Not measured; twice the suspicion.
 pub const DEAD_AFTER: Duration = Duration::from_secs(5);
 
-/// Silence after which another region counts as lost. Its summary is made every second and takes
-/// some heartbeats to come.
+/// Silence after which another region counts as lost.
+///
+/// Not measured; its summary is made every second and takes some heartbeats to arrive.
 pub const LOST_AFTER: Duration = Duration::from_secs(6);
 
-/// Time for which a node of another region is passed over after it failed to answer.
-const FAR_PAUSE: Duration = Duration::from_secs(5);
+/// Time for which a node of another region gets no work after it failed to answer. Not measured.
+const REMOTE_PAUSE: Duration = Duration::from_secs(5);
 
-/// Silence after which a node is forgotten.
+/// Silence after which a node is forgotten. Not measured; it bounds memory only.
 const FORGET_AFTER: Duration = Duration::from_secs(120);
 
 /// The nodes that are known.
@@ -35,7 +38,7 @@
     own: id::Region,
     known: collections::BTreeMap<id::Node, Known>,
     listed: collections::BTreeMap<id::Region, collections::BTreeSet<member::Key>>,
-    signs: collections::BTreeMap<id::Region, Instant>,
+    regions_seen: collections::BTreeMap<id::Region, Instant>,
 }
 
 /// One known node.
@@ -43,26 +46,34 @@
 pub struct Known {
     /// As it last described itself.
     pub member: heartbeat::Member,
-    /// When it was last heard of here.
-    pub heard: Instant,
-    /// When its description last changed here, its heartbeats' number aside.
+    /// When its liveness last advanced here.
+    pub last_seen: Instant,
+    /// When its description last changed here, its sequence aside.
     pub changed: Instant,
-    /// When it last failed to answer; none once it was heard of again.
+    /// When it last failed to answer; none once it was seen again.
     pub failed: Option<Instant>,
-    /// Whether it stands in another region, and whether that region's table lists it.
-    far: Option<bool>,
+    location: Location,
+}
+
+/// Where a node stands, as seen from this one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Location {
+    /// In this node's region.
+    Local,
+    /// In another region, whose table lists it or not.
+    Remote { is_listed: bool },
 }
 
 impl Known {
     /// Returns whether it may be given work.
     #[must_use]
     pub fn is_alive(&self, now: Instant) -> bool {
-        let silent = now.saturating_duration_since(self.heard);
-        match (self.far, self.failed) {
-            (None, failed) => failed.is_none() && silent < SUSPECT_AFTER,
-            (Some(is_listed), None) => is_listed,
-            (Some(is_listed), Some(at)) => {
-                is_listed && now.saturating_duration_since(at) >= FAR_PAUSE
+        let silent = now.saturating_duration_since(self.last_seen);
+        match (self.location, self.failed) {
+            (Location::Local, failed) => failed.is_none() && silent < SUSPECT_AFTER,
+            (Location::Remote { is_listed }, None) => is_listed,
+            (Location::Remote { is_listed }, Some(at)) => {
+                is_listed && now.saturating_duration_since(at) >= REMOTE_PAUSE
             }
         }
     }
@@ -70,11 +81,20 @@
     /// Returns whether it was silent for so long that it may be taken off its table.
     #[must_use]
     pub fn is_dead(&self, now: Instant) -> bool {
-        let is_listed = self.far.unwrap_or(false);
-        !is_listed && now.saturating_duration_since(self.heard) >= DEAD_AFTER
+        let is_listed = self.location == Location::Remote { is_listed: true };
+        !is_listed && now.saturating_duration_since(self.last_seen) >= DEAD_AFTER
     }
 }
 
+/// What changed since a peer was last updated.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Changes {
+    /// Members whose descriptions changed.
+    pub members: Vec<heartbeat::Member>,
+    /// Local members whose liveness advanced and nothing else.
+    pub liveness: Vec<heartbeat::Liveness>,
+}
+
 impl Members {
     /// Makes the members that a node of the region `own` knows when it starts.
     #[must_use]
@@ -83,12 +103,12 @@
             own,
             known: collections::BTreeMap::new(),
             listed: collections::BTreeMap::new(),
-            signs: collections::BTreeMap::new(),
+            regions_seen: collections::BTreeMap::new(),
         }
     }
 
-    /// Takes in another region's table.
-    pub fn list(&mut self, table: &table::Table) {
+    /// Applies another region's table.
+    pub fn apply_table(&mut self, table: &table::Table) {
         if table.region == self.own {
             return;
         }
@@ -96,57 +116,60 @@
         self.listed.insert(table.region.clone(), keys);
         let of_region = self.known.values_mut().filter(|k| k.member.region == table.region);
         for known in of_region {
-            known.far = Some(table.find(&known.member.key).is_some());
+            let is_listed = table.find(&known.member.key).is_some();
+            known.location = Location::Remote { is_listed };
         }
     }
 
-    /// Notes a sign of life of a whole region.
-    pub fn sign(&mut self, region: &id::Region, now: Instant) {
-        self.signs.insert(region.clone(), now);
+    /// Records that a node or the summary of a region was seen.
+    pub fn record_region(&mut self, region: &id::Region, now: Instant) {
+        self.regions_seen.insert(region.clone(), now);
     }
 
-    /// Takes in a description; returns whether it was news.
-    pub fn hear(&mut self, member: &heartbeat::Member, now: Instant) -> bool {
+    /// Records a description; one that is not newer than the known one is dropped.
+    pub fn record(&mut self, member: &heartbeat::Member, now: Instant) {
         match self.known.get(&member.key.node) {
-            Some(known) if !is_newer(member, known, now) => false,
+            Some(known) if !is_newer(member, known, now) => {}
             before => {
                 let kept = before.filter(|known| is_same(&known.member, member));
                 let changed = kept.map_or(now, |known| known.changed);
-                let far = self.far(member);
-                let known =
-                    Known { member: member.clone(), heard: now, changed, failed: None, far };
+                let location = self.location(member);
+                let known = Known {
+                    member: member.clone(),
+                    last_seen: now,
+                    changed,
+                    failed: None,
+                    location,
+                };
                 self.known.insert(member.key.node.clone(), known);
-                true
             }
         }
     }
 
-    /// Takes in a sign of life of a member whose description is known.
-    pub fn liveness(&mut self, liveness: &heartbeat::Liveness, now: Instant) {
+    /// Records a liveness counter of a member whose description is known.
+    pub fn record_liveness(&mut self, liveness: &heartbeat::Liveness, now: Instant) {
         match self.known.get_mut(&liveness.key.node) {
             Some(known)
                 if known.member.key == liveness.key
                     && liveness.sequence > known.member.sequence =>
             {
                 known.member.sequence = liveness.sequence;
-                known.heard = now;
+                known.last_seen = now;
                 known.failed = None;
             }
             _ => {}
         }
     }
 
-    /// Returns the latest news since `since`: descriptions that changed, and signs of life.
+    /// Returns the latest `most` changes since `since`, or since ever.
     #[must_use]
-    pub fn news(
-        &self,
-        since: Option<Instant>,
-        most: usize,
-    ) -> (Vec<heartbeat::Member>, Vec<heartbeat::Liveness>) {
+    pub fn changes(&self, since: Option<Instant>, most: usize) -> Changes {
         let is_after = |at: Instant| since.is_none_or(|since| at > since);
-        let is_newer = |k: &&Known| is_after(k.changed) || (k.far.is_none() && is_after(k.heard));
+        let is_newer = |k: &&Known| {
+            is_after(k.changed) || (k.location == Location::Local && is_after(k.last_seen))
+        };
         let mut fresh: Vec<&Known> = self.known.values().filter(is_newer).collect();
-        fresh.sort_by_key(|k| std::cmp::Reverse(k.heard));
+        fresh.sort_by_key(|k| std::cmp::Reverse(k.last_seen));
         fresh.truncate(most);
         let (changed, alive): (Vec<_>, Vec<_>) =
             fresh.into_iter().partition(|k| is_after(k.changed));
@@ -154,14 +177,14 @@
             key: k.member.key.clone(),
             sequence: k.member.sequence,
         };
-        (
-            changed.iter().map(|k| k.member.clone()).collect(),
-            alive.into_iter().map(liveness).collect(),
-        )
+        Changes {
+            members: changed.into_iter().map(|k| k.member.clone()).collect(),
+            liveness: alive.into_iter().map(liveness).collect(),
+        }
     }
 
-    /// Notes that a node did not answer.
-    pub fn fail(&mut self, node: &id::Node, now: Instant) {
+    /// Records that a node did not answer.
+    pub fn record_failure(&mut self, node: &id::Node, now: Instant) {
         if let Some(known) = self.known.get_mut(node) {
             known.failed = Some(now);
         }
@@ -189,43 +212,44 @@
         self.known.values().filter(move |k| k.is_alive(now))
     }
 
-    /// Returns whether another region has given no sign of life for long.
+    /// Returns whether another region has been silent for [`LOST_AFTER`].
     #[must_use]
     pub fn is_lost(&self, region: &id::Region, now: Instant) -> bool {
-        let sign = self.signs.get(region);
+        let seen = self.regions_seen.get(region);
         *region != self.own
-            && sign.is_some_and(|at| now.saturating_duration_since(*at) >= LOST_AFTER)
+            && seen.is_some_and(|at| now.saturating_duration_since(*at) >= LOST_AFTER)
     }
 
-    /// Forgets nodes that were silent for long.
+    /// Forgets nodes that were silent for [`FORGET_AFTER`] and are not listed elsewhere.
     pub fn forget(&mut self, now: Instant) {
-        let is_recent = |k: &Known| now.saturating_duration_since(k.heard) < FORGET_AFTER;
-        self.known.retain(|_, k| k.far == Some(true) || is_recent(k));
+        let is_recent = |k: &Known| now.saturating_duration_since(k.last_seen) < FORGET_AFTER;
+        self.known
+            .retain(|_, k| k.location == Location::Remote { is_listed: true } || is_recent(k));
     }
 
-    /// Returns whether a node stands in another region, and whether that region's table lists it. A
-    /// region whose table is not known yet is given the benefit of the doubt.
-    fn far(&self, member: &heartbeat::Member) -> Option<bool> {
+    /// Returns where a node stands. Nodes of a region whose table is not known yet count as listed.
+    fn location(&self, member: &heartbeat::Member) -> Location {
         match member.region == self.own {
-            true => None,
+            true => Location::Local,
             false => {
                 let listed = self.listed.get(&member.region);
-                Some(listed.is_none_or(|listed| listed.contains(&member.key)))
+                let is_listed = listed.is_none_or(|listed| listed.contains(&member.key));
+                Location::Remote { is_listed }
             }
         }
     }
 }
 
-/// Returns whether two descriptions say the same, the number of their heartbeats aside.
+/// Returns whether two descriptions are equal, their sequences aside.
 fn is_same(before: &heartbeat::Member, after: &heartbeat::Member) -> bool {
     let before = heartbeat::Member { sequence: after.sequence, ..before.clone() };
     before == *after
 }
 
-/// Returns whether `member` says more than what is known.
+/// Returns whether `member` is newer than what is known.
 ///
-/// Incarnations grow with the time of day, which may have gone back; so a silent node's name may
-/// also be taken over by a smaller one.
+/// Incarnations grow with the time of day, which may have gone back; so a dead node's name may also be
+/// taken over by a smaller one.
 fn is_newer(member: &heartbeat::Member, known: &Known, now: Instant) -> bool {
     let (new, old) = (&member.key.incarnation, &known.member.key.incarnation);
     match new.cmp(old) {
--- a/crates/steer/src/ownership/mod.rs
+++ b/crates/steer/src/ownership/mod.rs
@@ -2,6 +2,11 @@
 //!
 //! Each upstream has one owner, which alone sends to it. [`core::Core`] takes an [`event::Event`] with
 //! a time and pushes [`action::Action`]s; a test can drive it as the process does.
+//!
+//! A request meets, in this order: [`router`] (region by the split, owner by its load), [`owner`] (slot,
+//! queue or refusal), [`retry`] (another try or not). The region's slots are divided by [`rendezvous`],
+//! [`share`], [`allotment`] and [`lease`]; the splits are moved by [`planner`] and [`rotation`]; the
+//! nodes know each other by [`heartbeat`], [`members`], [`peering`] and [`maintenance`].
 
 pub mod action;
 pub mod allotment;
@@ -10,6 +15,7 @@
 pub mod event;
 pub mod health;
 pub mod heartbeat;
+pub mod latency;
 pub mod lease;
 pub mod ledger;
 pub mod maintenance;
--- a/crates/steer/src/ownership/owned.rs
+++ b/crates/steer/src/ownership/owned.rs
@@ -1,4 +1,7 @@
-//! Upstreams as their owner sees them: slots, slow_start and health together.
+//! Upstreams as their owner sees them: slots, slow start and health together.
+//!
+//! Owns how these limit an upstream, and the cost by which one is chosen. Relies on [`ledger`],
+//! [`slow_start`] and [`health`] for each limit.
 
 use std::net;
 use std::time::Instant;
@@ -6,9 +9,16 @@
 use model::id;
 
 use crate::ownership::health;
+use crate::ownership::latency;
 use crate::ownership::ledger;
 use crate::ownership::slow_start;
 
+/// Least part of its load that a fast upstream is charged with.
+///
+/// Not measured; an upstream that answers twice as fast as the others is preferred, a faster one no
+/// more, since quick failures look fast too.
+const LEAST_LATENCY_FACTOR: f64 = 0.5;
+
 /// One upstream of this region.
 #[derive(Clone, Debug)]
 pub struct Upstream {
@@ -16,9 +26,9 @@
     pub address: net::SocketAddr,
     /// Its hall.
     pub hall: id::Hall,
-    /// Whose its slots are, and which are taken.
+    /// Who may use its slots, and which are taken.
     pub ledger: ledger::Ledger,
-    /// How many of them its caches make worth using.
+    /// How many of them are used while it is cold.
     pub slow_start: slow_start::SlowStart,
     /// What is known against it.
     pub health: health::Health,
@@ -52,16 +62,17 @@
         }
     }
 
-    /// Returns how unwelcome one more request is; the least is chosen.
+    /// Returns the cost of one more request; the least is chosen.
     ///
-    /// The use it would bring the upstream to, weighed by its usual time to answer.
+    /// It is the share of its usable slots that the upstream would use, times how much longer than
+    /// `baseline`, the mean of the service, it takes to answer.
     #[must_use]
-    pub fn cost(&self, now: Instant, baseline: Option<f64>) -> f64 {
+    pub fn cost(&self, now: Instant, baseline: latency::Mean) -> f64 {
         let limit = f64::from(self.limit(now).max(1));
         let load = f64::from(self.ledger.in_flight() + 1) / limit;
-        match (self.slow_start.usual(), baseline) {
-            (Some(usual), Some(base)) if base > 0.0 => load * (usual / base).max(0.5),
-            _ => load,
+        match self.slow_start.latency().ratio_to(baseline) {
+            Some(ratio) => load * ratio.max(LEAST_LATENCY_FACTOR),
+            None => load,
         }
     }
 }
--- a/crates/steer/src/ownership/owners.rs
+++ b/crates/steer/src/ownership/owners.rs
@@ -1,4 +1,7 @@
-//! Homes: which nodes of a region can run a service's requests, as an entry sees them.
+//! Owners look-up: which nodes of a region can run a service's requests, as an entry sees them.
+//!
+//! Owns the rule for an owner that is silent. Relies on [`rendezvous`] for the ranks and on the caller
+//! for who is alive.
 
 use std::collections;
 use std::net;
@@ -17,7 +20,7 @@
 pub struct Owner {
     /// The node.
     pub key: member::Key,
-    /// Its face for peers.
+    /// Where it listens for peers.
     pub peers: net::SocketAddr,
     /// Slots it can be expected to use.
     pub weight: u32,
@@ -25,7 +28,7 @@
 
 /// Returns the owners of `service` in the region of `table`, counting only nodes that are alive.
 ///
-/// While an owner is silent, the next ranked node stands in with its own share.
+/// While an owner is silent, the next ranked node that is alive takes requests for its own share.
 #[must_use]
 pub fn find(
     table: &table::Table,
--- a/crates/steer/src/ownership/peering.rs
+++ b/crates/steer/src/ownership/peering.rs
@@ -1,4 +1,7 @@
-//! Peering: whom a node heartbeats to, and when, so that its traffic does not grow with the fleet.
+//! Peering: which nodes get a heartbeat, and when, so that traffic does not grow with the fleet.
+//!
+//! Owns when each peer was sent to and updated last. Relies on [`members`] for who is there and on the
+//! owner for its grantors.
 
 use std::collections;
 use std::net;
@@ -10,30 +13,31 @@
 use crate::ownership::heartbeat;
 use crate::ownership::members;
 
-/// Nodes of the own region that get a heartbeat each time, beside grantors.
-const NEAR: usize = 2;
+/// Nodes of the own region that get a heartbeat each time, beside grantors. Not measured apart.
+const LOCAL: usize = 2;
 
-/// Nodes of other regions that get a heartbeat each time.
-const FAR: usize = 1;
+/// Nodes of other regions that get a heartbeat each time. Not measured apart.
+const REMOTE: usize = 1;
 
-/// Longest time between two heartbeats to a grantor; three fit into a lease's term.
+/// Time between two heartbeats to a grantor. Not measured; three fit into a lease's term.
 const GRANTOR_PERIOD: Duration = Duration::from_millis(900);
 
-/// Time between two heartbeats to seeds that no known node answers for.
-const SEED_EVERY: Duration = Duration::from_secs(1);
+/// Time between two heartbeats to seeds at which no known node stands. Not measured.
+const SEED_PERIOD: Duration = Duration::from_secs(1);
 
-/// Least time between two fetches of a configuration.
-const FETCH_EVERY: Duration = Duration::from_millis(200);
+/// Least time between two fetches of a configuration. Not measured.
+const FETCH_PERIOD: Duration = Duration::from_millis(200);
 
-/// Epoch changes remembered to tell under which epoch a heartbeat was sent.
+/// Epoch changes remembered, to know under which epoch a heartbeat was sent. Not measured; a heartbeat is
+/// answered within a second or counts as lost.
 const REMEMBERED: usize = 8;
 
-/// Whom this node has beaten to.
+/// When each peer was sent a heartbeat and updated.
 #[derive(Debug)]
 pub struct Peering {
     seeds: Vec<net::SocketAddr>,
     sent: collections::BTreeMap<id::Node, Instant>,
-    told: collections::BTreeMap<id::Node, Instant>,
+    updated: collections::BTreeMap<id::Node, Instant>,
     seeded: Option<Instant>,
     fetched: Option<Instant>,
     epochs: collections::VecDeque<(Instant, epoch::Epoch)>,
@@ -42,7 +46,7 @@
 /// Where a heartbeat goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The face for peers.
+    /// Where it listens for peers.
     pub address: net::SocketAddr,
     /// The node expected there; none for a seed.
     pub node: Option<id::Node>,
@@ -56,14 +60,14 @@
         Self {
             seeds,
             sent: collections::BTreeMap::new(),
-            told: collections::BTreeMap::new(),
+            updated: collections::BTreeMap::new(),
             seeded: None,
             fetched: None,
             epochs: collections::VecDeque::new(),
         }
     }
 
-    /// Returns whom to heartbeat to now, and notes it.
+    /// Returns the nodes that get a heartbeat now, and records it.
     pub fn targets(
         &mut self,
         me: &heartbeat::Member,
@@ -76,13 +80,12 @@
         let mut others: Vec<&heartbeat::Member> =
             others.filter(|k| !k.is_dead(now)).map(|k| &k.member).collect();
         others.sort_by_key(|m| self.sent.get(&m.key.node).copied());
-        let is_near = |m: &&&heartbeat::Member| m.region == me.region;
-        let near = others.iter().filter(is_near).take(NEAR);
-        let far = others.iter().filter(|m| !is_near(m)).take(FAR);
-        let granted =
-            others.iter().filter(|m| grantors.contains(&m.key.node) && self.is_due(m, now));
+        let is_local = |m: &&&heartbeat::Member| m.region == me.region;
+        let local = others.iter().filter(is_local).take(LOCAL);
+        let remote = others.iter().filter(|m| !is_local(m)).take(REMOTE);
+        let due = others.iter().filter(|m| grantors.contains(&m.key.node) && self.is_due(m, now));
         let mut chosen: collections::BTreeMap<id::Node, net::SocketAddr> =
-            near.chain(far).chain(granted).map(|m| (m.key.node.clone(), m.peers)).collect();
+            local.chain(remote).chain(due).map(|m| (m.key.node.clone(), m.peers)).collect();
         let known: Vec<net::SocketAddr> = others.iter().map(|m| m.peers).collect();
         let seeds = self.due_seeds(&known, now);
         for node in chosen.keys() {
@@ -93,14 +96,14 @@
         nodes.chain(seeds.into_iter().map(|address| Target { address, node: None })).collect()
     }
 
-    /// Returns when the node was last told news, and notes that it is told now.
-    pub fn told(&mut self, node: &id::Node, now: Instant) -> Option<Instant> {
-        self.told.insert(node.clone(), now)
+    /// Returns when the node was last updated, and records that it is updated now.
+    pub fn mark_updated(&mut self, node: &id::Node, now: Instant) -> Option<Instant> {
+        self.updated.insert(node.clone(), now)
     }
 
-    /// Returns whether a configuration may be fetched now, and notes that it is.
+    /// Returns whether a configuration may be fetched now, and records that it is.
     pub fn may_fetch(&mut self, now: Instant) -> bool {
-        let recent = |at: Instant| now.saturating_duration_since(at) < FETCH_EVERY;
+        let recent = |at: Instant| now.saturating_duration_since(at) < FETCH_PERIOD;
         match self.fetched.is_some_and(recent) {
             true => false,
             false => {
@@ -134,7 +137,7 @@
 
     /// Returns the seeds at which no known node stands, when it is time to try them again.
     fn due_seeds(&mut self, known: &[net::SocketAddr], now: Instant) -> Vec<net::SocketAddr> {
-        let recent = |at: Instant| now.saturating_duration_since(at) < SEED_EVERY;
+        let recent = |at: Instant| now.saturating_duration_since(at) < SEED_PERIOD;
         if self.seeded.is_some_and(recent) {
             return Vec::new();
         }
--- a/crates/steer/src/ownership/planner.rs
+++ b/crates/steer/src/ownership/planner.rs
@@ -3,7 +3,7 @@
 //! A pure function of configuration and measurements, so that nodes which know the same plan the
 //! same. Regions are filled nearest first up to a margin of their usable slots; what does not fit
 //! goes on to the next nearest. When nothing has room the rest follows the capacities, and the
-//! owners refuse what they cannot hold.
+//! owners refuse what they cannot hold. Owns the margin. Relies on [`split`] for the result.
 
 use std::collections;
 
@@ -11,10 +11,11 @@
 
 use crate::common::split;
 
-/// Part of a region's usable slots that the planner fills, so that a surge finds headroom.
+/// Part of a region's usable slots that the planner fills, so that a surge finds headroom. Not
+/// measured.
 pub const MARGIN: f64 = 0.85;
 
-/// Demand of a place that sent nothing lately, in slots; it decides no one else's split.
+/// Demand of a place that sent nothing lately, in slots: too little to move the split of another.
 const LEAST_DEMAND: f64 = 1e-6;
 
 /// What one place asks of one service.
@@ -36,28 +37,31 @@
 ) -> collections::BTreeMap<id::Place, split::Split> {
     let mut room: collections::BTreeMap<&id::Region, f64> =
         capacities.iter().map(|(region, slots)| (region, slots * MARGIN)).collect();
-    let mut asks: Vec<Ask<'_>> = demands.iter().map(Ask::new).collect();
+    let mut placements: Vec<Placement<'_>> = demands.iter().map(Placement::new).collect();
     let levels = demands.iter().map(|d| d.links.len()).max().unwrap_or(0);
     for level in 0..levels {
-        fill_level(level, &mut room, &mut asks);
+        fill_level(level, &mut room, &mut placements);
     }
-    asks.into_iter().map(|ask| (ask.demand.place.clone(), ask.finish(capacities))).collect()
+    placements
+        .into_iter()
+        .map(|placement| (placement.demand.place.clone(), placement.finish(capacities)))
+        .collect()
 }
 
 /// One place's demand while it is being placed.
-struct Ask<'a> {
+struct Placement<'a> {
     demand: &'a Demand,
     left: f64,
     placed: Vec<(id::Region, f64)>,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> Placement<'a> {
     fn new(demand: &'a Demand) -> Self {
         Self { demand, left: demand.slots.max(LEAST_DEMAND), placed: Vec::new() }
     }
 
     /// Returns the region at `level` and what this place would send there.
-    fn wish(&self, level: usize) -> Option<(&'a id::Region, f64)> {
+    fn request(&self, level: usize) -> Option<(&'a id::Region, f64)> {
         let (region, limit) = self.demand.links.get(level)?;
         Some((region, self.left.min(*limit)))
     }
@@ -86,24 +90,24 @@
     }
 }
 
-/// Gives each region at `level` what its places wish, scaled down where it has too little room.
+/// Gives each region at `level` what its places ask for, scaled down where it has too little room.
 fn fill_level(
     level: usize,
     room: &mut collections::BTreeMap<&id::Region, f64>,
-    asks: &mut [Ask<'_>],
+    placements: &mut [Placement<'_>],
 ) {
-    let mut wished: collections::BTreeMap<&id::Region, f64> = collections::BTreeMap::new();
-    for (region, slots) in asks.iter().filter_map(|ask| ask.wish(level)) {
-        *wished.entry(region).or_insert(0.0) += slots;
+    let mut requested: collections::BTreeMap<&id::Region, f64> = collections::BTreeMap::new();
+    for (region, slots) in placements.iter().filter_map(|placement| placement.request(level)) {
+        *requested.entry(region).or_insert(0.0) += slots;
     }
-    for ask in asks.iter_mut() {
-        let Some((region, slots)) = ask.wish(level) else { continue };
+    for placement in placements.iter_mut() {
+        let Some((region, slots)) = placement.request(level) else { continue };
         let free = room.get(region).copied().unwrap_or(0.0);
-        let total = wished.get(region).copied().unwrap_or(0.0);
+        let total = requested.get(region).copied().unwrap_or(0.0);
         let part = if total > free { free / total } else { 1.0 };
-        ask.place(region, slots * part);
+        placement.place(region, slots * part);
     }
-    for (region, slots) in wished {
+    for (region, slots) in requested {
         if let Some(free) = room.get_mut(region) {
             *free = (*free - slots).max(0.0);
         }
--- a/crates/steer/src/ownership/queue.rs
+++ b/crates/steer/src/ownership/queue.rs
@@ -1,4 +1,7 @@
 //! Queues: requests that wait at their owner for a slot, in fair turn of their places.
+//!
+//! Owns the order: within a place first come, first served; between places round robin. How long one
+//! may wait is decided by its [`Owner`](crate::ownership::owner::Owner).
 
 use std::collections;
 use std::time::Instant;
@@ -12,8 +15,6 @@
 pub struct Waiting {
     /// The request.
     pub offer: request::Offer,
-    /// When it came.
-    pub since: Instant,
     /// When its wait must end.
     pub until: Instant,
 }
@@ -21,7 +22,7 @@
 /// The requests of one service that wait, by place.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    lines: collections::BTreeMap<id::Place, collections::VecDeque<Waiting>>,
+    places: collections::BTreeMap<id::Place, collections::VecDeque<Waiting>>,
     turn: Option<id::Place>,
     len: usize,
 }
@@ -39,23 +40,23 @@
         self.len == 0
     }
 
-    /// Adds a request at the end of its place's line.
+    /// Adds a request behind those of its place.
     pub fn push(&mut self, waiting: Waiting) {
         self.len += 1;
-        self.lines.entry(waiting.offer.place.clone()).or_default().push_back(waiting);
+        self.places.entry(waiting.offer.place.clone()).or_default().push_back(waiting);
     }
 
-    /// Takes the first request of the place whose turn it is for which `accept` has a use.
+    /// Removes the first request that `accept` takes, asking the places in turn.
     pub fn pop_for<T>(
         &mut self,
         mut accept: impl FnMut(&Waiting) -> Option<T>,
     ) -> Option<(Waiting, T)> {
         for place in self.places_in_turn() {
-            let Some(line) = self.lines.get_mut(&place) else { continue };
+            let Some(line) = self.places.get_mut(&place) else { continue };
             let Some(found) = line.front().and_then(&mut accept) else { continue };
             let waiting = line.pop_front()?;
             if line.is_empty() {
-                self.lines.remove(&place);
+                self.places.remove(&place);
             }
             self.len -= 1;
             self.turn = Some(place);
@@ -64,29 +65,29 @@
         None
     }
 
-    /// Takes a request out by its id.
+    /// Removes a request by its id.
     pub fn remove(&mut self, id: request::Id) -> Option<Waiting> {
         self.extract(|waiting| waiting.offer.id == id).pop()
     }
 
-    /// Takes out every request whose wait ends by `now`.
+    /// Removes every request whose wait ends by `now`.
     pub fn expire(&mut self, now: Instant) -> Vec<Waiting> {
         self.extract(|waiting| waiting.until <= now)
     }
 
-    /// Takes every request out.
+    /// Removes every request.
     pub fn clear(&mut self) -> Vec<Waiting> {
         self.extract(|_| true)
     }
 
     fn extract(&mut self, mut matches: impl FnMut(&Waiting) -> bool) -> Vec<Waiting> {
         let mut found = Vec::new();
-        for line in self.lines.values_mut() {
+        for line in self.places.values_mut() {
             let (out, kept) = line.drain(..).partition(|w| matches(w));
             *line = kept;
             found.extend::<collections::VecDeque<Waiting>>(out);
         }
-        self.lines.retain(|_, line| !line.is_empty());
+        self.places.retain(|_, line| !line.is_empty());
         self.len -= found.len();
         found
     }
@@ -94,8 +95,8 @@
     /// Returns the places, those after the last served first.
     fn places_in_turn(&self) -> Vec<id::Place> {
         let after = |place: &&id::Place| self.turn.as_ref().is_none_or(|turn| *place > turn);
-        let first = self.lines.keys().filter(after);
-        let rest = self.lines.keys().filter(|place| !after(place));
+        let first = self.places.keys().filter(after);
+        let rest = self.places.keys().filter(|place| !after(place));
         first.chain(rest).cloned().collect()
     }
 }
--- a/crates/steer/src/ownership/rates.rs
+++ b/crates/steer/src/ownership/rates.rs
@@ -1,12 +1,17 @@
 //! Rates: requests a second from each place, smoothed.
+//!
+//! Owns the counts since the last roll. Relies on being rolled with every heartbeat.
 
 use std::collections;
 use std::time::{Duration, Instant};
 
 use model::id;
 
-/// Time over which a rate follows a change.
-const MEMORY: Duration = Duration::from_secs(2);
+/// Time over which a rate follows a change. Not measured.
+const SMOOTHING: Duration = Duration::from_secs(2);
+
+/// Rate, in requests a second, below which a place is forgotten: less than a message carries.
+const LEAST_RATE: f64 = 0.001;
 
 /// Arrivals by place.
 #[derive(Clone, Debug, Default)]
@@ -17,7 +22,7 @@
 }
 
 impl Rates {
-    /// Notes one arrival.
+    /// Counts one arrival.
     pub fn count(&mut self, place: &id::Place) {
         match self.counts.get_mut(place) {
             Some(count) => *count += 1,
@@ -34,7 +39,7 @@
         if elapsed <= 0.0 {
             return;
         }
-        let weight = (elapsed / MEMORY.as_secs_f64()).min(1.0);
+        let weight = (elapsed / SMOOTHING.as_secs_f64()).min(1.0);
         for place in self.counts.keys() {
             self.rates.entry(place.clone()).or_insert(0.0);
         }
@@ -42,7 +47,7 @@
             let count = self.counts.get(place).copied().unwrap_or(0);
             *rate += weight * (f64::from(count) / elapsed - *rate);
         }
-        self.rates.retain(|_, rate| *rate > 0.001);
+        self.rates.retain(|_, rate| *rate > LEAST_RATE);
         self.counts.clear();
     }
 
--- a/crates/steer/src/ownership/rendezvous.rs
+++ b/crates/steer/src/ownership/rendezvous.rs
@@ -3,13 +3,16 @@
 //! Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998): every node
 //! gets a score from a hash of both names, and the highest scores win. A node that joins or leaves
 //! moves only the upstreams it is ranked for.
+//!
+//! Owns the number of ranks. Relies on one hash function that all nodes share.
 
 use model::member;
 use xxhash_rust::xxh3;
 
 use model::upstream;
 
-/// Nodes that hold a share of an upstream's slots.
+/// Nodes that hold a share of an upstream's slots. Not measured; two may fail at once, and a share of
+/// three slots is one or two.
 pub const RANKS: usize = 3;
 
 /// Returns the nodes that hold shares of `upstream`, the owner first.
--- a/crates/steer/src/ownership/report.rs
+++ b/crates/steer/src/ownership/report.rs
@@ -1,4 +1,6 @@
-//! Reports: what an upstream says of itself when probed.
+//! Reports: an upstream's answer to a probe.
+//!
+//! Owns the form, which upstreams write. Read by [`health`](crate::ownership::health).
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/steer/src/ownership/request.rs
+++ b/crates/steer/src/ownership/request.rs
@@ -1,4 +1,6 @@
 //! Requests, as the decisions see them.
+//!
+//! Owns a request's id inside one process, and the ways in which it can end. Relies on nothing.
 
 use std::time::Instant;
 
--- a/crates/steer/src/ownership/retry.rs
+++ b/crates/steer/src/ownership/retry.rs
@@ -1,11 +1,15 @@
 //! Retries: whether a request that failed may be sent again.
+//!
+//! Owns the rule and the greatest number of tries. Relies on [`budget`] for second tries that reach an
+//! upstream, so that retries cannot multiply the load of a fleet that is failing.
 
 use model::service;
 use model::verdict;
 
 use crate::ownership::budget;
 
-/// Most times one request is sent to an owner, beside owners that had no slot free at once.
+/// Most times one request is sent to an owner, beside owners that had no slot free at once. Not
+/// measured.
 pub const MOST_TRIES: u32 = 3;
 
 /// Decides on one more try of a request that was tried `tries` times.
--- a/crates/steer/src/ownership/rotation.rs
+++ b/crates/steer/src/ownership/rotation.rs
@@ -1,4 +1,7 @@
-//! Rotations: one place's requests for one service, with the split they follow.
+//! Rotations: in which turn one place's requests for one service go to the regions.
+//!
+//! Owns the position of the split and the turn. Relies on [`ramp`] so that the split never moves faster
+//! than its cap, and on [`round_robin`] so that requests follow it exactly.
 
 use std::time::Instant;
 
@@ -37,7 +40,7 @@
     pub fn advance(&mut self, target: &split::Split, limit: Option<ramp::Limit>, now: Instant) {
         match (target.is_empty(), self.position().is_empty()) {
             // With no region left there is nothing to move to: stay, so that the ramp goes on from
-            // here when one comes back.
+            // here once a region is usable again.
             (true, _) => {}
             (false, true) => self.ramp = ramp::Limiter::new(target.clone()),
             (false, false) => {
--- a/crates/steer/src/ownership/round_robin.rs
+++ b/crates/steer/src/ownership/round_robin.rs
@@ -3,6 +3,9 @@
 //! Each turn adds its share to every region's credit and takes a whole from the richest. After any
 //! number of turns each region has had its share of them, within one request; no random number is
 //! drawn. The method is the well-known one of nginx.
+//!
+//! Owns the credits, in millionths. Gateways have a round robin of their own, which counts in floating
+//! point and can prefer a choice; this one must be exact within one request for the caps to hold.
 
 use std::collections;
 
@@ -11,7 +14,7 @@
 
 use crate::common::split;
 
-/// The credits of one place's requests for one service.
+/// The credits of the regions of one place's requests for one service.
 #[derive(Clone, Debug, Default)]
 pub struct RoundRobin {
     credits: collections::BTreeMap<id::Region, i64>,
--- /dev/null
+++ b/crates/steer/src/ownership/router/mod.rs
@@ -0,0 +1,243 @@
+//! The router of an entry: which region by the split, and which owner there by its load.
+//!
+//! Owns the rotation of each service and place, the requests that are out at owners, and what owners
+//! reported of their slots. Relies on [`owners`] for who owns what, on [`retry`] for second tries and
+//! on [`planner`](crate::ownership::planner) for the splits' targets.
+//!
+//! [`selection`] chooses the owner of one request, [`planning`] moves the splits.
+
+mod planning;
+mod selection;
+
+use std::collections;
+use std::sync;
+use std::time::{Duration, Instant, SystemTime};
+
+use model::id;
+use model::member;
+use model::service;
+use model::snapshot;
+use model::table;
+use model::verdict;
+
+use crate::ownership::action;
+use crate::ownership::budget;
+use crate::ownership::heartbeat;
+use crate::ownership::owners;
+use crate::ownership::request;
+use crate::ownership::retry;
+use crate::ownership::rotation;
+use crate::ownership::summaries;
+
+pub use planning::Measured;
+
+/// `Retry-After` when no owner could be reached.
+///
+/// Not measured; nodes are suspected, and regional tables rewritten, within about this time.
+const RETRY_AFTER: Duration = Duration::from_secs(2);
+
+/// Routes the requests that enter at this node.
+#[derive(Debug, Default)]
+pub struct Router {
+    rotations: collections::BTreeMap<(id::Service, id::Place), rotation::Rotation>,
+    owners: collections::BTreeMap<(id::Service, id::Region), Vec<owners::Owner>>,
+    /// What owners and regions reported of themselves.
+    pub summaries: summaries::Summaries,
+    routed: collections::HashMap<request::Id, Routed>,
+    budgets: collections::BTreeMap<id::Service, budget::Budget>,
+    outstanding: collections::BTreeMap<(id::Service, id::Node), u32>,
+    reported: collections::BTreeMap<(id::Service, id::Node), Reported>,
+}
+
+/// An owner's last report of its use, less what this entry had out there.
+#[derive(Clone, Copy, Debug)]
+struct Reported {
+    others: u32,
+    usable: u32,
+    at: Instant,
+}
+
+/// A request that is out at an owner.
+#[derive(Debug)]
+struct Routed {
+    service: id::Service,
+    region: Option<id::Region>,
+    owner: Option<id::Node>,
+    tried: Vec<id::Node>,
+    /// Owners that had no slot free at once.
+    busy: usize,
+    /// Whether any try so far may have run.
+    so_far: verdict::Verdict,
+}
+
+/// A request that wants a region and an owner.
+#[derive(Clone, Debug)]
+pub struct Ask {
+    /// The request.
+    pub request: request::Id,
+    /// The service.
+    pub service: id::Service,
+    /// The caller's place.
+    pub place: id::Place,
+    /// The region, when another entry has chosen it.
+    pub region: Option<id::Region>,
+}
+
+/// What routing and planning read beside the router's own state.
+pub struct View<'a> {
+    /// The configuration.
+    pub snapshot: &'a snapshot::Snapshot,
+    /// Whether all nodes of a region have been silent for so long that it counts as lost.
+    pub is_lost: &'a dyn Fn(&id::Region) -> bool,
+    /// The region of this node.
+    pub region: &'a id::Region,
+    /// The time.
+    pub now: Instant,
+    /// The time of day, for drains.
+    pub wall: SystemTime,
+}
+
+impl std::fmt::Debug for View<'_> {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.debug_struct("View").field("now", &self.now).finish_non_exhaustive()
+    }
+}
+
+impl Router {
+    /// Applies an owner's summary; one that is not newer than the last is dropped.
+    pub fn record_summary(&mut self, summary: &heartbeat::Summary, now: Instant) {
+        if self.summaries.record(summary, now) {
+            let busy = summary.in_flight + summary.queued;
+            let usage = heartbeat::Usage { busy, usable: summary.usable };
+            self.record_usage(&summary.key.node, &summary.service, usage, now);
+        }
+    }
+
+    /// Records how much of its slots a service uses at an owner.
+    pub fn record_usage(
+        &mut self,
+        owner: &id::Node,
+        service: &id::Service,
+        usage: heartbeat::Usage,
+        now: Instant,
+    ) {
+        let own = self.outstanding(service, owner);
+        let others = usage.busy.saturating_sub(own);
+        let key = (service.clone(), owner.clone());
+        self.reported.insert(key, Reported { others, usable: usage.usable, at: now });
+    }
+
+    /// Finds the owners of every service anew.
+    pub fn find_owners(
+        &mut self,
+        snapshot: &snapshot::Snapshot,
+        tables: &collections::BTreeMap<id::Region, sync::Arc<table::Table>>,
+        is_alive: &dyn Fn(&member::Key) -> bool,
+    ) {
+        self.owners.clear();
+        for stored in snapshot.services.values() {
+            for (region, table) in tables {
+                let owners = owners::find(table, &stored.spec, is_alive);
+                if !owners.is_empty() {
+                    self.owners.insert((stored.spec.name.clone(), region.clone()), owners);
+                }
+            }
+        }
+    }
+
+    /// Decides where a request goes.
+    pub fn route(&mut self, ask: Ask, view: &View<'_>, out: &mut Vec<action::Action>) {
+        let region = match ask.region {
+            Some(region) => Some(region),
+            None => {
+                self.budgets.entry(ask.service.clone()).or_default().earn();
+                self.next_region(&ask.service, &ask.place, view)
+            }
+        };
+        let routed = Routed {
+            service: ask.service,
+            region,
+            owner: None,
+            tried: Vec::new(),
+            busy: 0,
+            so_far: verdict::Verdict::NotRun,
+        };
+        self.send(ask.request, routed, view, out);
+    }
+
+    /// Returns the owner that a request was sent to last.
+    #[must_use]
+    pub fn owner_of(&self, request: request::Id) -> Option<&id::Node> {
+        self.routed.get(&request).and_then(|routed| routed.owner.as_ref())
+    }
+
+    /// Forgets a routed request that is over.
+    pub fn returned(&mut self, request: request::Id) {
+        self.take(request);
+    }
+
+    /// Routes a request again that failed, in the region its split gave it, or refuses it.
+    pub fn failed(
+        &mut self,
+        request: request::Id,
+        failure: verdict::Failure,
+        repetition: service::Repetition,
+        view: &View<'_>,
+        out: &mut Vec<action::Action>,
+    ) {
+        let Some(mut routed) = self.take(request) else { return };
+        let last = failure;
+        let failure = last.after_tries(routed.so_far);
+        routed.so_far = failure.verdict;
+        routed.busy += usize::from(failure.reason == verdict::Reason::Busy);
+        let tries = u32::try_from(routed.tried.len() - routed.busy).unwrap_or(u32::MAX);
+        let budget = self.budgets.entry(routed.service.clone()).or_default();
+        match retry::may_retry(last, repetition, tries, budget) {
+            true => self.send(request, routed, view, out),
+            false => out.push(action::Action::Refuse { request, failure }),
+        }
+    }
+
+    /// Returns how many requests are out at owners.
+    #[must_use]
+    pub fn load(&self) -> usize {
+        self.routed.len()
+    }
+
+    fn send(
+        &mut self,
+        request: request::Id,
+        mut routed: Routed,
+        view: &View<'_>,
+        out: &mut Vec<action::Action>,
+    ) {
+        let Some(choice) = self.choose(&routed, view) else {
+            let failure = verdict::Failure::not_run(verdict::Reason::NoRegion).after(RETRY_AFTER);
+            let failure = failure.after_tries(routed.so_far);
+            return out.push(action::Action::Refuse { request, failure });
+        };
+        let selection::Choice { region, owner, may_wait } = choice;
+        let owners::Owner { key: owner, peers, .. } = owner;
+        let node = &owner.node;
+        *self.outstanding.entry((routed.service.clone(), node.clone())).or_insert(0) += 1;
+        routed.owner = Some(node.clone());
+        routed.tried.push(node.clone());
+        self.routed.insert(request, routed);
+        out.push(action::Action::Forward { request, region, owner, peers, may_wait });
+    }
+
+    fn take(&mut self, request: request::Id) -> Option<Routed> {
+        let routed = self.routed.remove(&request)?;
+        if let Some(owner) = &routed.owner {
+            let key = (routed.service.clone(), owner.clone());
+            if let Some(count) = self.outstanding.get_mut(&key) {
+                *count = count.saturating_sub(1);
+            }
+        }
+        Some(routed)
+    }
+
+    fn outstanding(&self, service: &id::Service, node: &id::Node) -> u32 {
+        self.outstanding.get(&(service.clone(), node.clone())).copied().unwrap_or(0)
+    }
+}
--- a/crates/steer/src/ownership/share.rs
+++ b/crates/steer/src/ownership/share.rs
@@ -1,7 +1,8 @@
 //! Shares: how the slots of an upstream are divided among its ranked nodes.
 //!
 //! The shares of one epoch add up to the slots, so that nodes which cannot hear each other never
-//! use more than there are, whatever each believes.
+//! use more than there are, whatever each believes. Owns the division. Relies on the ranks of
+//! [`rendezvous`](crate::ownership::rendezvous).
 
 /// Returns the share of the node at `rank` (the owner is 0) of `slots`, with `ranks` nodes ranked.
 ///
--- a/crates/steer/src/ownership/slow_start.rs
+++ b/crates/steer/src/ownership/slow_start.rs
@@ -1,61 +1,65 @@
-//! SlowStart: how many slots of an upstream are worth using while its caches are cold.
+//! Slow start: how many slots of an upstream are used while its caches are cold.
+//!
+//! A cold upstream starts with one slot and is given one more after as many warm answers in a row as it
+//! has slots. Owns that limit and the upstream's mean answer time. Relies on [`latency`] for the mean.
 
 use std::time::Duration;
 
-/// Slots a cold upstream starts with.
-const FIRST: u32 = 1;
+use crate::ownership::latency;
 
-/// An answer is warm when it took at most this many times the service's usual time.
+/// Slots that a cold upstream starts with. Not measured; it is the least that shows anything.
+const FIRST_SLOTS: u32 = 1;
+
+/// An answer is warm when it took at most this many times the service's mean. Not measured.
 const WARM_RATIO: f64 = 2.0;
 
-/// Weight of a new answer in an upstream's usual time.
-const WEIGHT: f64 = 0.1;
+/// Weight of a new answer in an upstream's mean answer time. Not measured; about the last ten count.
+const UPSTREAM_LATENCY_WEIGHT: f64 = 0.1;
 
 /// What one upstream has shown since it was last cold.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     limit: u32,
-    good: u32,
-    usual: Option<f64>,
+    warm_answers: u32,
+    latency: latency::Mean,
 }
 
 impl SlowStart {
     /// Makes the state of an upstream that is cold, as far as is known.
     #[must_use]
     pub fn cold() -> Self {
-        Self { limit: FIRST, good: 0, usual: None }
+        Self { limit: FIRST_SLOTS, warm_answers: 0, latency: latency::Mean::default() }
     }
 
-    /// Makes the state of an upstream that has worked before this node met it.
+    /// Makes the state of an upstream that worked before this node knew it.
     #[must_use]
     pub fn warm() -> Self {
-        Self { limit: u32::MAX, good: 0, usual: None }
+        Self { limit: u32::MAX, ..Self::cold() }
     }
 
-    /// Returns the slots worth using, of `slots`.
+    /// Returns how many of `slots` may be used.
     #[must_use]
     pub fn limit(&self, slots: u32) -> u32 {
         self.limit.min(slots)
     }
 
-    /// Returns the usual time of an answer, in seconds, once it is known.
+    /// Returns the upstream's mean answer time.
     #[must_use]
-    pub fn usual(&self) -> Option<f64> {
-        self.usual
+    pub fn latency(&self) -> latency::Mean {
+        self.latency
     }
 
-    /// Notes an answer; `baseline` is the usual time at warm upstreams of the service, in seconds.
-    pub fn answered(&mut self, latency: Duration, baseline: Option<f64>, slots: u32) {
+    /// Records an answer; `baseline` is the mean at all upstreams of the service.
+    pub fn answered(&mut self, latency: Duration, baseline: latency::Mean, slots: u32) {
+        self.latency.record(latency, UPSTREAM_LATENCY_WEIGHT);
         let seconds = latency.as_secs_f64();
-        let usual = self.usual.unwrap_or(seconds);
-        self.usual = Some(usual + WEIGHT * (seconds - usual));
-        let warm = baseline.is_none_or(|base| seconds <= base * WARM_RATIO);
-        match warm {
-            true if self.limit < slots => self.good += 1,
-            _ => self.good = 0,
+        let is_warm = baseline.seconds().is_none_or(|base| seconds <= base * WARM_RATIO);
+        match is_warm {
+            true if self.limit < slots => self.warm_answers += 1,
+            _ => self.warm_answers = 0,
         }
-        if self.good >= self.limit {
-            self.good = 0;
+        if self.warm_answers >= self.limit {
+            self.warm_answers = 0;
             self.limit = (self.limit + 1).min(slots);
         }
     }
--- a/crates/steer/src/ownership/ticket.rs
+++ b/crates/steer/src/ownership/ticket.rs
@@ -2,7 +2,8 @@
 //!
 //! A ticket names one incarnation of one node. Only that incarnation runs the request, once, and
 //! it remembers the outcome until the ticket ends by its own clock. Nobody else can run it, so no
-//! agreement and no write to the store is needed, and a partition cannot make it run twice.
+//! agreement and no write to the store is needed, and a partition cannot make it run twice. Owns the tickets in use. Relies on the incarnation being new with
+//! every start.
 
 use std::collections;
 use std::fmt;
@@ -12,10 +13,10 @@
 use model::id;
 use model::verdict;
 
-/// Time for which a ticket may be used, and its outcome asked for, from when it was issued.
+/// Time for which a ticket may be used, and its outcome asked for, from when it was issued. Not measured.
 pub const LIFE: Duration = Duration::from_secs(120);
 
-/// Most tickets in use that one node remembers.
+/// Most tickets in use that one node remembers. Not measured; it bounds memory.
 pub const MOST: usize = 50_000;
 
 /// The right to run one request once.
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Notes how the request of a ticket ended. One proved not to have run may be claimed again.
+    /// Records how the request of a ticket ended. One proved not to have run may be claimed again.
     pub fn finish(&mut self, ticket: &Ticket, outcome: Outcome<A>) {
         let not_run = matches!(
             &outcome,
@@ -173,8 +174,8 @@
                 self.used.remove(&ticket.nonce);
             }
             Some(state) => *state = State::Done(outcome),
-            // A ticket outlives its request unless the request was longer than the ticket's life;
-            // then it counts as unknown, which tells the truth.
+            // A ticket outlives its request unless the request took longer than the ticket's life; then
+            // it is unknown, and the answer "may have run" is right.
             None => {}
         }
     }
--- a/crates/steer/src/ownership/vms.rs
+++ b/crates/steer/src/ownership/vms.rs
@@ -1,4 +1,6 @@
 //! The platform's list of VMs, which lags.
+//!
+//! Owns the form, as the list is read, and what an empty list means. Relies on nothing.
 
 use std::collections;
 use std::net;
@@ -12,7 +14,7 @@
     pub vms: collections::BTreeMap<net::IpAddr, State>,
 }
 
-/// The standing of one VM.
+/// The state of one VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
@@ -29,7 +31,7 @@
         self.vms.get(&address) == Some(&State::Leaving)
     }
 
-    /// Returns whether the VM is gone. An empty list says nothing.
+    /// Returns whether the VM is gone. An empty list proves nothing.
     #[must_use]
     pub fn is_gone(&self, address: net::IpAddr) -> bool {
         !self.vms.is_empty() && !self.vms.contains_key(&address)
