--- a/crates/node/src/owner/callers/entry.rs
+++ b/crates/node/src/owner/callers/entry.rs
@@ -1,4 +1,6 @@
-//! Entering a request: from the caller's node to the owner that runs it, and again if it may be.
+//! Entry of a request: from the caller's node to the owner that runs it, with retries.
+//!
+//! Owns the loop over tries and the tickets' way. Relies on the decisions for every choice.
 
 use std::sync;
 use std::time::Duration;
@@ -14,35 +16,36 @@
 
 use crate::common::body;
 use crate::owner::answer;
-use crate::owner::decisions;
 use crate::owner::failed;
-use crate::owner::peers::carrier;
+use crate::owner::handle;
+use crate::owner::peers::forwarder;
 use crate::owner::runner;
 
-/// When a caller may ask again about a ticket whose request is running.
+/// `Retry-After` for a ticket whose request is running. Not measured.
 const RUNNING_RETRY: Duration = Duration::from_secs(1);
 
 /// What entering needs; each duty that enters requests has its own connections.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    decisions: decisions::Handle,
+    handle: handle::Handle,
     runner: runner::Runner,
-    carrier: carrier::Carrier,
+    forwarder: forwarder::Forwarder,
 }
 
 impl Entry {
     /// Makes an entry without connections.
     #[must_use]
     pub fn new(
-        decisions: decisions::Handle,
+        handle: handle::Handle,
         runner: runner::Runner,
-        carrier: carrier::Carrier,
+        forwarder: forwarder::Forwarder,
     ) -> Self {
-        Self { decisions, runner, carrier }
+        Self { handle, runner, forwarder }
     }
 
-    /// Sends a request to the owner that the decisions choose, and again while it may be; to one in
-    /// `region` when that was chosen already.
+    /// Sends a request to the owner that the decisions choose, and retries while they allow it.
+    ///
+    /// The owner is in `region` when that was chosen already.
     ///
     /// # Errors
     ///
@@ -56,12 +59,12 @@
         let repetition = order.service.repetition(order.method.as_str(), &order.path);
         let name = order.service.name.clone();
         let place = order.place.clone();
-        let (routed, mut decision) = self.decisions.route(name, place, region).await;
+        let (routed, mut decision) = self.handle.route(name, place, region).await;
         let mut so_far = verdict::Verdict::NotRun;
         loop {
-            let view = self.decisions.view();
+            let view = self.handle.view();
             let (owner, peers, duty) = match decision {
-                decisions::Decision::Forward { region, owner, peers, may_wait } => {
+                handle::Decision::Forward { region, owner, peers, may_wait } => {
                     order.may_wait = may_wait;
                     let duty = match region == view.region {
                         true => peer::Duty::Home,
@@ -69,27 +72,27 @@
                     };
                     (owner, peers, duty)
                 }
-                decisions::Decision::Refuse(failure) => return Err(failure),
-                decisions::Decision::Run { .. } => {
+                handle::Decision::Refuse(failure) => return Err(failure),
+                handle::Decision::Run { .. } => {
                     return Err(verdict::Failure::not_run(verdict::Reason::NotReady));
                 }
             };
-            let told = |usage| self.decisions.used(&owner.node, &order.service.name, usage);
+            let report = |usage| self.handle.used(&owner.node, &order.service.name, usage);
             let result = match owner == view.me {
-                true => self.run_here(&order, &mut source, told).await,
+                true => self.run_here(&order, &mut source, report).await,
                 false => {
-                    let head = head_of(&order, duty, &self.decisions);
-                    self.carrier.carry(peers, head, &mut source, told).await
+                    let head = head_of(&order, duty, &self.handle);
+                    self.forwarder.forward(peers, head, &mut source, report).await
                 }
             };
             let failed = match result {
-                Ok(answer) => return Ok(keep_routed(answer, routed)),
+                Ok(answer) => return Ok(with_routed(answer, routed)),
                 Err(failed) => failed,
             };
             order.avoid.extend(failed.upstream);
             let failure = failed.failure.after_tries(so_far);
             so_far = failure.verdict;
-            if !source.is_ready() || order.deadline <= self.decisions.now() {
+            if !source.is_ready() || order.deadline <= self.handle.now() {
                 return Err(failure);
             }
             decision = routed.failed(failed.failure, repetition).await;
@@ -110,7 +113,7 @@
         let Some(ticket) = ticket::Ticket::parse(text) else {
             return Err(verdict::Failure::not_run(verdict::Reason::BadRequest));
         };
-        let view = self.decisions.view();
+        let view = self.handle.view();
         if ticket.node == view.me.node {
             return self.enter_ticket(order, text, kept).await;
         }
@@ -118,10 +121,10 @@
         let Some(node) = view.node(&ticket.node) else {
             return Err(verdict::Failure::may_have_run(verdict::Reason::Ticket));
         };
-        let mut head = head_of(&order, peer::Duty::Ticket, &self.decisions);
+        let mut head = head_of(&order, peer::Duty::Ticket, &self.handle);
         head.ticket = text.to_owned();
         let mut source = body::Source::Kept(kept);
-        let result = self.carrier.carry(node.peers, head, &mut source, |_| {}).await;
+        let result = self.forwarder.forward(node.peers, head, &mut source, |_| {}).await;
         // That this try was not sent says nothing about the tries before it.
         result.map_err(|failed| match failed.failure.reason {
             verdict::Reason::NotReady => verdict::Failure::may_have_run(verdict::Reason::Ticket),
@@ -145,7 +148,7 @@
         let Some(ticket) = ticket::Ticket::parse(text) else {
             return Err(verdict::Failure::not_run(verdict::Reason::BadRequest));
         };
-        let claim = self.decisions.claim(ticket.clone()).await;
+        let claim = self.handle.claim(ticket.clone()).await;
         match claim {
             ticket::Claim::Run => {}
             ticket::Claim::Running => {
@@ -179,7 +182,7 @@
         let response = match result {
             Ok(response) => response,
             Err(failure) => {
-                self.decisions.finish(ticket, ticket::Outcome::Failed(failure));
+                self.handle.finish(ticket, ticket::Outcome::Failed(failure));
                 return Err(failure);
             }
         };
@@ -187,19 +190,19 @@
         let body = match answer::take(body).await {
             Ok(answer::Taken::Whole(body)) => body,
             Ok(answer::Taken::Longer(body)) => {
-                self.decisions.finish(ticket, ticket::Outcome::Unkept);
+                self.handle.finish(ticket, ticket::Outcome::Unkept);
                 return Ok(Response::from_parts(head, body));
             }
             Err(_) => {
                 let failure = verdict::Failure::may_have_run(verdict::Reason::Broken);
-                self.decisions.finish(ticket, ticket::Outcome::Failed(failure));
+                self.handle.finish(ticket, ticket::Outcome::Failed(failure));
                 return Err(failure);
             }
         };
         let answer =
             sync::Arc::new(answer::Answer { status: head.status, headers: head.headers, body });
         let outcome = ticket::Outcome::Answered(sync::Arc::clone(&answer));
-        self.decisions.finish(ticket, outcome);
+        self.handle.finish(ticket, outcome);
         Ok(replay(&answer))
     }
 
@@ -207,28 +210,24 @@
         &self,
         order: &runner::Order,
         source: &mut body::Source,
-        told: impl Fn(heartbeat::Usage),
+        report: impl Fn(heartbeat::Usage),
     ) -> Result<Response<body::Body>, failed::Failed> {
         let slot = self.runner.reserve(order).await.inspect_err(|failed| {
-            failed.usage.into_iter().for_each(&told);
+            failed.usage.into_iter().for_each(&report);
         })?;
-        told(slot.usage);
+        report(slot.usage);
         self.runner.run(slot, order, source.take()).await
     }
 }
 
-fn head_of(
-    order: &runner::Order,
-    duty: peer::Duty,
-    decisions: &decisions::Handle,
-) -> peer::RequestHead {
+fn head_of(order: &runner::Order, duty: peer::Duty, handle: &handle::Handle) -> peer::RequestHead {
     peer::RequestHead {
         duty: duty.into(),
         service: order.service.name.as_str().to_owned(),
         method: order.method.as_str().to_owned(),
         path: order.path.clone(),
-        headers: carrier::header_list(&order.headers),
-        remaining_ms: carrier::remaining_ms(order.deadline, decisions.now()),
+        headers: forwarder::header_list(&order.headers),
+        remaining_ms: forwarder::remaining_ms(order.deadline, handle.now()),
         place: order.place.as_str().to_owned(),
         avoid: order.avoid.iter().map(|u| u.as_str().to_owned()).collect(),
         ticket: String::new(),
@@ -236,8 +235,8 @@
     }
 }
 
-/// Keeps the request counted as out at its owner until its answer has passed.
-fn keep_routed(answer: Response<body::Body>, routed: decisions::Routed) -> Response<body::Body> {
+/// Counts the request as out at its owner until its answer has passed.
+fn with_routed(answer: Response<body::Body>, routed: handle::Routed) -> Response<body::Body> {
     answer.map(|body| {
         let held = body.map_frame(move |frame| {
             let _ = &routed;
--- a/crates/node/src/owner/callers/lookup.rs
+++ b/crates/node/src/owner/callers/lookup.rs
@@ -8,7 +8,7 @@
 
 use crate::common::body;
 use crate::owner::callers::respond;
-use crate::owner::decisions;
+use crate::owner::handle;
 use crate::owner::settings;
 use crate::owner::view;
 
@@ -54,10 +54,10 @@
 pub fn answer(
     query: &str,
     caller: net::IpAddr,
-    decisions: &decisions::Handle,
+    handle: &handle::Handle,
     limits: &settings::Limits,
 ) -> Response<body::Body> {
-    let view = decisions.view();
+    let view = handle.view();
     let name = query.split('&').find_map(|pair| pair.strip_prefix("service="));
     let Some(name) = name else {
         return error(StatusCode::BAD_REQUEST, "expected `?service=NAME`");
@@ -76,7 +76,7 @@
         place,
         nodes,
         cache_ms: u64::try_from(limits.lookup_cache.as_millis()).unwrap_or(u64::MAX),
-        ticket: decisions.issue().to_string(),
+        ticket: handle.issue().to_string(),
     };
     match serde_json::to_value(&answer) {
         Ok(value) => respond::json(StatusCode::OK, &value),
--- a/crates/node/src/owner/callers/mod.rs
+++ b/crates/node/src/owner/callers/mod.rs
@@ -1,6 +1,6 @@
-//! The callers' face: the proxy and the look-ups.
+//! For callers: the proxy and the look-ups.
 
 pub mod entry;
-pub mod face;
 pub mod lookup;
 pub mod respond;
+pub mod server;
--- a/crates/node/src/owner/callers/face.rs
+++ b/crates/node/src/owner/callers/server.rs
@@ -1,4 +1,7 @@
-//! The server of the callers' face.
+//! The callers' server: proxies requests and answers look-ups.
+//!
+//! Owns the connections of callers and their bounds. Relies on [`entry`] for requests and on [`lookup`]
+//! for look-ups; decides nothing itself.
 
 use std::convert;
 use std::io;
@@ -24,7 +27,7 @@
 use crate::owner::callers::entry;
 use crate::owner::callers::lookup;
 use crate::owner::callers::respond;
-use crate::owner::decisions;
+use crate::owner::handle;
 use crate::owner::runner;
 use crate::owner::settings;
 use crate::owner::stats;
@@ -38,11 +41,11 @@
 /// Pause after a failure to accept, such as too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What the callers' face works with.
+/// The callers' server.
 #[derive(Clone, Debug)]
-pub struct Face {
+pub struct Server {
     /// The decisions.
-    pub decisions: decisions::Handle,
+    pub handle: handle::Handle,
     /// Enters requests.
     pub entry: entry::Entry,
     /// Bounds.
@@ -51,12 +54,12 @@
     pub stats: sync::Arc<stats::Stats>,
 }
 
-/// Serves the callers' face until `stop` turns true, then ends every connection after what it has
+/// Serves callers until `stop` turns true, then ends every connection after what it has
 /// in flight.
-pub async fn serve(face: Face, listener: TcpListener, mut stop: watch::Receiver<bool>) {
-    let permits = sync::Arc::new(Semaphore::new(face.limits.connections));
+pub async fn serve(server: Server, listener: TcpListener, mut stop: watch::Receiver<bool>) {
+    let permits = sync::Arc::new(Semaphore::new(server.limits.connections));
     let connections = graceful::GracefulShutdown::new();
-    let face = sync::Arc::new(face);
+    let server = sync::Arc::new(server);
     loop {
         let Ok(permit) = sync::Arc::clone(&permits).acquire_owned().await else { return };
         let accepted = tokio::select! {
@@ -67,7 +70,7 @@
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let connection = connect(&face, stream, peer, &connections);
+        let connection = connect(&server, stream, peer, &connections);
         tokio::spawn(async move {
             connection.await;
             drop(permit);
@@ -79,37 +82,37 @@
 
 /// Returns the work of one connection.
 fn connect(
-    face: &sync::Arc<Face>,
+    server: &sync::Arc<Server>,
     stream: TcpStream,
     peer: net::SocketAddr,
     connections: &graceful::GracefulShutdown,
 ) -> impl Future<Output = ()> + use<> {
     let _ = stream.set_nodelay(true);
-    let face = sync::Arc::clone(face);
+    let server = sync::Arc::clone(server);
     let mut builder = auto::Builder::new(rt::TokioExecutor::new());
     builder
         .http1()
         .timer(rt::TokioTimer::new())
-        .header_read_timeout(face.limits.head_time)
-        .max_buf_size(face.limits.head_bytes);
+        .header_read_timeout(server.limits.head_time)
+        .max_buf_size(server.limits.head_bytes);
     builder
         .http2()
         .timer(rt::TokioTimer::new())
         .max_concurrent_streams(STREAMS)
-        .max_header_list_size(u32::try_from(face.limits.head_bytes).unwrap_or(u32::MAX));
+        .max_header_list_size(u32::try_from(server.limits.head_bytes).unwrap_or(u32::MAX));
     let watcher = connections.watcher();
     async move {
         let service = service_fn(|request| {
-            let face = sync::Arc::clone(&face);
-            async move { Ok::<_, convert::Infallible>(face.handle(request, peer.ip()).await) }
+            let server = sync::Arc::clone(&server);
+            async move { Ok::<_, convert::Infallible>(server.handle(request, peer.ip()).await) }
         });
         let connection = builder.serve_connection(rt::TokioIo::new(stream), service);
-        // A caller that goes away or talks nonsense ends its own connection only.
+        // A caller that disconnects or sends what is not HTTP ends its own connection only.
         let _ = watcher.watch(connection).await;
     }
 }
 
-impl Face {
+impl Server {
     async fn handle(
         &self,
         request: Request<Incoming>,
@@ -118,7 +121,7 @@
         if request.uri().path() == lookup::PATH {
             self.stats.lookup();
             let query = request.uri().query().unwrap_or_default();
-            return lookup::answer(query, caller, &self.decisions, &self.limits);
+            return lookup::answer(query, caller, &self.handle, &self.limits);
         }
         let began = Instant::now();
         let result = self.proxy(request, caller).await;
@@ -142,7 +145,7 @@
         }
         let host = parts.uri.authority().map(|a| a.as_str().to_owned());
         let host = host.or_else(|| text(&parts.headers, &header::HOST));
-        let view = self.decisions.view();
+        let view = self.handle.view();
         if !view.is_ready {
             let failure = verdict::Failure::not_run(verdict::Reason::NotReady);
             return Err(failure.after(Duration::from_secs(1)));
@@ -156,7 +159,7 @@
             head::Number::Given(millis) => Duration::from_millis(millis).min(service.deadline),
             head::Number::Malformed => return Err(bad),
         };
-        let deadline = self.decisions.now() + allowed;
+        let deadline = self.handle.now() + allowed;
         let ticket = text(&parts.headers, &head::TICKET);
         let path = path.to_owned();
         head::clean(&mut parts.headers);
@@ -205,7 +208,7 @@
         match size {
             Some(0) => Ok(body::Source::Kept(bytes::Bytes::new())),
             Some(size) if size <= limit as u64 => {
-                let left = deadline.saturating_duration_since(self.decisions.now());
+                let left = deadline.saturating_duration_since(self.handle.now());
                 let read = Limited::new(incoming, limit).collect();
                 match tokio::time::timeout(left, read).await {
                     Ok(Ok(body)) => Ok(body::Source::Kept(body.to_bytes())),
@@ -222,7 +225,7 @@
     headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_owned)
 }
 
-/// Binds a face's listener.
+/// Binds a listener.
 ///
 /// # Errors
 ///
--- a/crates/node/src/owner/decider.rs
+++ b/crates/node/src/owner/event_loop.rs
@@ -18,7 +18,7 @@
 use tokio::sync::oneshot;
 
 use crate::owner::answer;
-use crate::owner::decisions;
+use crate::owner::handle;
 use crate::owner::view;
 
 /// Time between two ticks: the grain of waits and holds.
@@ -29,9 +29,9 @@
 
 /// All that one node decides with.
 #[derive(Debug)]
-pub struct Decider {
+pub struct EventLoop {
     core: core::Core,
-    outputs: decisions::Outputs,
+    outputs: handle::Outputs,
     clock: sync::Arc<dyn clock::Clock>,
     tickets: ticket::Table<answer::Answer>,
     waiting: collections::HashMap<request::Id, Waiting>,
@@ -44,7 +44,7 @@
 /// Whoever asked, and for which service's slots here, if for any.
 #[derive(Debug)]
 struct Waiting {
-    reply: oneshot::Sender<(decisions::Decision, heartbeat::Usage)>,
+    reply: oneshot::Sender<(handle::Decision, heartbeat::Usage)>,
     offered: Option<id::Service>,
 }
 
@@ -63,12 +63,12 @@
     pub now: Instant,
 }
 
-impl Decider {
+impl EventLoop {
     /// Makes the loop's state.
     #[must_use]
     pub fn new(
         core: core::Core,
-        outputs: decisions::Outputs,
+        outputs: handle::Outputs,
         clock: sync::Arc<dyn clock::Clock>,
         tickets: ticket::Table<answer::Answer>,
     ) -> Self {
@@ -89,8 +89,8 @@
     /// Runs until stopped. Releases go before asks, so that freed slots are known first.
     pub(crate) fn run(
         &mut self,
-        asks: &ring::Receiver<decisions::Message>,
-        releases: &ring::Receiver<decisions::Message>,
+        asks: &ring::Receiver<handle::Message>,
+        releases: &ring::Receiver<handle::Message>,
         stop: &ring::Receiver<()>,
     ) {
         loop {
@@ -123,11 +123,11 @@
         self.publish(now);
     }
 
-    fn take(&mut self, message: decisions::Message) {
+    fn take(&mut self, message: handle::Message) {
         let now = self.clock.now();
         match message {
-            decisions::Message::Event(event) => self.handle(event, now, None),
-            decisions::Message::Ask(event, id, reply) => {
+            handle::Message::Event(event) => self.handle(event, now, None),
+            handle::Message::Ask(event, id, reply) => {
                 let offered = match &event {
                     event::Event::Offer { offer } => Some(offer.service.clone()),
                     _ => None,
@@ -135,14 +135,14 @@
                 self.waiting.insert(id, Waiting { reply, offered });
                 self.handle(event, now, None);
             }
-            decisions::Message::Heartbeat(heartbeat, reply) => {
+            handle::Message::Heartbeat(heartbeat, reply) => {
                 self.handle(event::Event::Heartbeat { heartbeat }, now, Some(reply));
             }
-            decisions::Message::Claim(ticket, reply) => {
+            handle::Message::Claim(ticket, reply) => {
                 let _ = reply.send(self.tickets.claim(&ticket, now));
             }
-            decisions::Message::Finish(ticket, outcome) => self.tickets.finish(&ticket, outcome),
-            decisions::Message::Look(look) => look(&State {
+            handle::Message::Finish(ticket, outcome) => self.tickets.finish(&ticket, outcome),
+            handle::Message::Look(look) => look(&State {
                 core: &self.core,
                 tickets: self.tickets.len(),
                 waiting: self.waiting.len(),
@@ -183,9 +183,9 @@
     ) {
         match action {
             action::Action::Heartbeat { to, node, heartbeat } => {
-                self.send(decisions::Outgoing::Heartbeat { to, node, heartbeat, made: now });
+                self.send(handle::Outgoing::Heartbeat { to, node, heartbeat, made: now });
             }
-            action::Action::Fetch { from } => self.send(decisions::Outgoing::Fetch { from }),
+            action::Action::Fetch { from } => self.send(handle::Outgoing::Fetch { from }),
             action::Action::Propose { table } => {
                 if self.outputs.tables.try_send(table).is_err() {
                     self.dropped += 1;
@@ -202,7 +202,7 @@
 
     /// Hands a decision to whoever asked; one that nobody waits for any more is taken back.
     fn decide(&mut self, action: action::Action, now: Instant) {
-        let Some((id, decision)) = decisions::decision(action) else { return };
+        let Some((id, decision)) = handle::decision(action) else { return };
         let unheard = match self.waiting.remove(&id) {
             Some(Waiting { reply, offered }) => {
                 let usage = offered.map(|service| self.core.owner.usage(&service, now));
@@ -212,14 +212,14 @@
         };
         // Whoever asked gave up, and what it gave back may have come before its ask.
         let undo = match unheard {
-            Some(decisions::Decision::Run { .. }) => event::Event::Withdraw { request: id },
-            Some(decisions::Decision::Forward { .. }) => event::Event::Returned { request: id },
-            Some(decisions::Decision::Refuse(_)) | None => return,
+            Some(handle::Decision::Run { .. }) => event::Event::Withdraw { request: id },
+            Some(handle::Decision::Forward { .. }) => event::Event::Returned { request: id },
+            Some(handle::Decision::Refuse(_)) | None => return,
         };
         self.handle(undo, now, None);
     }
 
-    fn send(&mut self, outgoing: decisions::Outgoing) {
+    fn send(&mut self, outgoing: handle::Outgoing) {
         if self.outputs.peers.try_send(outgoing).is_err() {
             self.dropped += 1;
         }
--- a/crates/node/src/owner/failed.rs
+++ b/crates/node/src/owner/failed.rs
@@ -1,4 +1,4 @@
-//! A request's failure with what a next try needs to know.
+//! A failed try: its failure, and what the next try needs.
 
 use model::id;
 use model::verdict;
@@ -11,7 +11,7 @@
     pub failure: verdict::Failure,
     /// The upstream that was asked, if one was.
     pub upstream: Option<id::Upstream>,
-    /// How much of its slots the service uses at the owner that refused, if it told.
+    /// How much of its slots the service uses at the owner that refused, if it reported that.
     pub usage: Option<heartbeat::Usage>,
 }
 
--- a/crates/node/src/owner/decisions.rs
+++ b/crates/node/src/owner/handle.rs
@@ -24,7 +24,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::owner::answer;
-use crate::owner::decider;
+use crate::owner::event_loop;
 use crate::owner::view;
 
 /// Asks that may wait for the deciding thread.
@@ -59,7 +59,7 @@
 }
 
 /// A look at the decisions' state.
-pub type Look = Box<dyn FnOnce(&decider::State<'_>) + Send>;
+pub type Look = Box<dyn FnOnce(&event_loop::State<'_>) + Send>;
 
 /// What the deciding thread is told.
 pub(crate) enum Message {
@@ -158,7 +158,7 @@
         issuer: issuer.clone(),
         refused: sync::Arc::default(),
     };
-    let mut decider = decider::Decider::new(core, outputs, clock, ticket::Table::new(issuer));
+    let mut decider = event_loop::EventLoop::new(core, outputs, clock, ticket::Table::new(issuer));
     let body = move || decider.run(&asked, &released, &stopped);
     let thread = thread::Builder::new().name("decisions".to_owned()).spawn(body)?;
     Ok((handle, Thread { stop, thread: Some(thread) }))
@@ -266,7 +266,7 @@
     /// Looks at the decisions' state from their own thread.
     pub async fn look<T: Send + 'static>(
         &self,
-        look: impl FnOnce(&decider::State<'_>) -> T + Send + 'static,
+        look: impl FnOnce(&event_loop::State<'_>) -> T + Send + 'static,
     ) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         let look: Look = Box::new(move |state| {
--- a/crates/node/src/owner/duty.rs
+++ b/crates/node/src/owner/io_thread.rs
@@ -1,4 +1,6 @@
-//! Duties: each has a thread of its own, with a single-threaded runtime for its input and output.
+//! Threads for input and output, each with a single-threaded runtime.
+//!
+//! Owns the thread and its stop. Logs keep the key `duty` for its name.
 
 use std::future;
 use std::io;
@@ -7,16 +9,16 @@
 use tokio::runtime;
 use tokio::sync::watch;
 
-/// A running duty.
+/// A running thread.
 #[derive(Debug)]
-pub struct Duty {
+pub struct IoThread {
     name: &'static str,
     stop: watch::Sender<bool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-impl Duty {
-    /// Starts a thread that drives what `work` returns, until that ends or the duty is stopped.
+impl IoThread {
+    /// Starts a thread that drives what `work` returns, until that ends or the thread is stopped.
     ///
     /// # Errors
     ///
@@ -42,8 +44,9 @@
         Ok(Self { name, stop, thread: Some(thread) })
     }
 
-    /// Ends the duty at once, whatever it is doing, and waits for its thread.
+    /// Stops the thread at once, whatever it is doing, and waits for it.
     pub fn stop(&mut self) {
+        // Without a receiver the thread has ended already.
         let _ = self.stop.send(true);
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
@@ -53,7 +56,7 @@
     }
 }
 
-impl Drop for Duty {
+impl Drop for IoThread {
     fn drop(&mut self) {
         self.stop();
     }
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -2,10 +2,10 @@
 
 pub mod answer;
 pub mod callers;
-pub mod decider;
-pub mod decisions;
-pub mod duty;
+pub mod event_loop;
 pub mod failed;
+pub mod handle;
+pub mod io_thread;
 pub mod node;
 pub mod operators;
 pub mod peers;
--- a/crates/node/src/owner/node.rs
+++ b/crates/node/src/owner/node.rs
@@ -1,4 +1,4 @@
-//! A node: its duties, started together and stopped together.
+//! A node: its threads, started together and stopped together.
 
 use std::io;
 use std::net;
@@ -17,15 +17,15 @@
 
 use crate::common::store::client;
 use crate::owner::callers;
-use crate::owner::decisions;
-use crate::owner::duty;
+use crate::owner::handle;
+use crate::owner::io_thread;
 use crate::owner::operators;
 use crate::owner::peers;
 use crate::owner::probes;
 use crate::owner::runner;
 use crate::owner::settings;
 use crate::owner::stats;
-use crate::owner::store::keep;
+use crate::owner::store::follower;
 use crate::owner::store::vmlist;
 use crate::owner::view;
 
@@ -36,7 +36,7 @@
 const TABLES: usize = 4;
 
 /// Operators' changes that wait for the store's duty.
-const WISHES: usize = 64;
+const WRITES: usize = 64;
 
 /// Time between two looks at whether a stopping node is done.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
@@ -46,11 +46,11 @@
 pub struct Node {
     /// Where it listens.
     pub listen: settings::Listen,
-    handle: decisions::Handle,
+    handle: handle::Handle,
     stop_callers: watch::Sender<bool>,
     limits: settings::Limits,
-    duties: Vec<duty::Duty>,
-    thread: decisions::Thread,
+    threads: Vec<io_thread::IoThread>,
+    thread: handle::Thread,
 }
 
 impl Node {
@@ -74,27 +74,27 @@
         let (view, _) = watch::channel(sync::Arc::new(first));
         let (outgoing, to_send) = mpsc::channel(OUTGOING);
         let (tables, to_write) = mpsc::channel(TABLES);
-        let (wishes, to_grant) = mpsc::channel(WISHES);
+        let (writes, to_apply) = mpsc::channel(WRITES);
         let core = core::Core::new(me, settings.seeds.clone(), clock.now(), clock.wall());
-        let outputs = decisions::Outputs { peers: outgoing, tables, view };
-        let (handle, thread) = decisions::start(core, outputs, clock, settings.limits.requests)?;
+        let outputs = handle::Outputs { peers: outgoing, tables, view };
+        let (handle, thread) = handle::start(core, outputs, clock, settings.limits.requests)?;
         let stats = sync::Arc::new(stats::Stats::new());
         let calls = sync::Arc::new(client::Calls::default());
         let (stop_callers, stopped) = watch::channel(false);
-        let duties = vec![
+        let threads = vec![
             start_callers(settings, &handle, sync::Arc::clone(&stats), callers, stopped)?,
             start_peers(&handle, peers, to_send)?,
-            start_store(settings, &handle, sync::Arc::clone(&calls), to_write, to_grant)?,
+            start_store(settings, &handle, sync::Arc::clone(&calls), to_write, to_apply)?,
             start_probes(&handle)?,
-            start_operators(settings, &handle, stats, calls, wishes, operators)?,
+            start_operators(settings, &handle, stats, calls, writes, operators)?,
         ];
         let limits = settings.limits.clone();
-        Ok(Self { listen, handle, stop_callers, limits, duties, thread })
+        Ok(Self { listen, handle, stop_callers, limits, threads, thread })
     }
 
     /// Returns the way to ask its decisions.
     #[must_use]
-    pub fn handle(&self) -> &decisions::Handle {
+    pub fn handle(&self) -> &handle::Handle {
         &self.handle
     }
 
@@ -128,7 +128,7 @@
     }
 
     fn end(&mut self) {
-        for duty in &mut self.duties {
+        for duty in &mut self.threads {
             duty.stop();
         }
         self.thread.stop();
@@ -136,7 +136,7 @@
 }
 
 fn listen(field: &str, address: net::SocketAddr) -> anyhow::Result<std::net::TcpListener> {
-    callers::face::bind(address)
+    callers::server::bind(address)
         .map_err(|error| anyhow::anyhow!("{field}: cannot listen on {address}: {error}"))
 }
 
@@ -165,37 +165,37 @@
 
 fn start_callers(
     settings: &settings::Settings,
-    handle: &decisions::Handle,
+    handle: &handle::Handle,
     stats: sync::Arc<stats::Stats>,
     listener: std::net::TcpListener,
     stopped: watch::Receiver<bool>,
-) -> io::Result<duty::Duty> {
+) -> io::Result<io_thread::IoThread> {
     let handle = handle.clone();
     let limits = settings.limits.clone();
-    duty::Duty::start("callers", move || async move {
+    io_thread::IoThread::start("callers", move || async move {
         let Ok(listener) = TcpListener::from_std(listener) else { return };
         let entry = entry(&handle);
-        let face = callers::face::Face { decisions: handle, entry, limits, stats };
-        callers::face::serve(face, listener, stopped).await;
+        let face = callers::server::Server { handle, entry, limits, stats };
+        callers::server::serve(face, listener, stopped).await;
         // Streams that the graceful end waits for no longer still run here until the node ends.
         std::future::pending::<()>().await;
     })
 }
 
 fn start_peers(
-    handle: &decisions::Handle,
+    handle: &handle::Handle,
     listener: std::net::TcpListener,
-    to_send: mpsc::Receiver<decisions::Outgoing>,
-) -> io::Result<duty::Duty> {
+    to_send: mpsc::Receiver<handle::Outgoing>,
+) -> io::Result<io_thread::IoThread> {
     let handle = handle.clone();
-    duty::Duty::start("peers", move || async move {
+    io_thread::IoThread::start("peers", move || async move {
         let Ok(listener) = TcpListener::from_std(listener) else { return };
-        let face = peers::face::Face {
+        let face = peers::server::Server {
             runner: runner::Runner::new(handle.clone()),
             entry: entry(&handle),
-            decisions: handle.clone(),
+            handle: handle.clone(),
         };
-        let serve = peers::face::serve(face, listener);
+        let serve = peers::server::serve(face, listener);
         let send = peers::heartbeats::run(handle, to_send);
         let (served, ()) = tokio::join!(serve, send);
         if let Err(error) = served {
@@ -207,53 +207,53 @@
 
 fn start_store(
     settings: &settings::Settings,
-    handle: &decisions::Handle,
+    handle: &handle::Handle,
     calls: sync::Arc<client::Calls>,
     to_write: mpsc::Receiver<sync::Arc<model::table::Table>>,
-    to_grant: mpsc::Receiver<keep::Wish>,
-) -> io::Result<duty::Duty> {
+    to_apply: mpsc::Receiver<follower::Write>,
+) -> io::Result<io_thread::IoThread> {
     let handle = handle.clone();
     let region = settings.region.clone();
     let address = settings.store;
     let vms = settings.vms;
-    duty::Duty::start("store", move || async move {
+    io_thread::IoThread::start("store", move || async move {
         let client = client::Client::new(address, calls);
-        let keeper = keep::Keeper::new(client, handle.clone(), region);
+        let follower = follower::Follower::new(client, handle.clone(), region);
         let list = async {
             match vms {
                 Some(vms) => vmlist::run(vms, handle).await,
                 None => std::future::pending().await,
             }
         };
-        tokio::join!(keeper.run(to_write, to_grant), list);
+        tokio::join!(follower.run(to_write, to_apply), list);
     })
 }
 
-fn start_probes(handle: &decisions::Handle) -> io::Result<duty::Duty> {
+fn start_probes(handle: &handle::Handle) -> io::Result<io_thread::IoThread> {
     let handle = handle.clone();
-    duty::Duty::start("probes", move || probes::run(handle))
+    io_thread::IoThread::start("probes", move || probes::run(handle))
 }
 
 fn start_operators(
     settings: &settings::Settings,
-    handle: &decisions::Handle,
+    handle: &handle::Handle,
     stats: sync::Arc<stats::Stats>,
     calls: sync::Arc<client::Calls>,
-    wishes: mpsc::Sender<keep::Wish>,
+    writes: mpsc::Sender<follower::Write>,
     listener: std::net::TcpListener,
-) -> io::Result<duty::Duty> {
+) -> io::Result<io_thread::IoThread> {
     let access = operators::access::Access::new(&settings.operators);
-    let face = operators::api::Face { decisions: handle.clone(), wishes, access, calls, stats };
-    duty::Duty::start("operators", move || async move {
+    let face = operators::api::Context { handle: handle.clone(), writes, access, calls, stats };
+    io_thread::IoThread::start("operators", move || async move {
         let Ok(listener) = TcpListener::from_std(listener) else { return };
         let _ = axum::serve(listener, operators::api::router(face)).await;
     })
 }
 
-fn entry(handle: &decisions::Handle) -> callers::entry::Entry {
+fn entry(handle: &handle::Handle) -> callers::entry::Entry {
     callers::entry::Entry::new(
         handle.clone(),
         runner::Runner::new(handle.clone()),
-        peers::carrier::Carrier::default(),
+        peers::forwarder::Forwarder::default(),
     )
 }
--- a/crates/node/src/owner/operators/access.rs
+++ b/crates/node/src/owner/operators/access.rs
@@ -1,4 +1,4 @@
-//! Who may use the operators' face.
+//! Who may use the resource API.
 
 use http::{HeaderMap, header};
 use sha2::{Digest as _, Sha256};
--- a/crates/node/src/owner/operators/api.rs
+++ b/crates/node/src/owner/operators/api.rs
@@ -1,4 +1,7 @@
 //! The resource API.
+//!
+//! Owns the routes and the checks of a request's form. Relies on [`access`] for who may, and on the
+//! store's follower for changes.
 
 use std::collections;
 use std::sync;
@@ -20,7 +23,7 @@
 
 use crate::common::store::accept;
 use crate::common::store::client;
-use crate::owner::decisions;
+use crate::owner::handle;
 use crate::owner::operators::access;
 use crate::owner::operators::dump;
 use crate::owner::operators::problem::Problem;
@@ -28,7 +31,7 @@
 use crate::owner::operators::stream;
 use crate::owner::settings;
 use crate::owner::stats;
-use crate::owner::store::keep;
+use crate::owner::store::follower;
 
 /// Largest body of a change: a store's value.
 const LARGEST_BODY: usize = 1 << 20;
@@ -39,40 +42,44 @@
 /// Header by which an operator names an operation.
 const OPERATION: &str = "yokespoke-operation";
 
-/// What the operators' face works with.
+/// What the operators' context works with.
 #[derive(Clone, Debug)]
-pub struct Face {
+pub struct Context {
     /// The decisions.
-    pub decisions: decisions::Handle,
-    /// Where changes go; when full, the operator is told to try again.
-    pub wishes: mpsc::Sender<keep::Wish>,
+    pub handle: handle::Handle,
+    /// Where changes go; when full, the operator has to try again.
+    pub writes: mpsc::Sender<follower::Write>,
     /// The tokens.
     pub access: access::Access,
     /// Calls to the store.
     pub calls: sync::Arc<client::Calls>,
-    /// Figures of the callers' face.
+    /// Figures of the callers' context.
     pub stats: sync::Arc<stats::Stats>,
 }
 
-type Shared = sync::Arc<Face>;
+type Shared = sync::Arc<Context>;
 
-/// Returns the routes of the operators' face.
-pub fn router(face: Face) -> axum::Router {
-    let face: Shared = sync::Arc::new(face);
+/// Returns the routes of the operators' context.
+pub fn router(context: Context) -> axum::Router {
+    let context: Shared = sync::Arc::new(context);
     axum::Router::new()
         .route("/v1/state", routing::get(state))
         .route("/v1/changes", routing::post(apply))
         .route("/v1/operations/{operation}", routing::get(operation))
         .route("/v1/{kind}", routing::get(list))
         .route("/v1/{kind}/{name}", routing::get(get).put(put).delete(delete))
-        .layer(middleware::from_fn_with_state(sync::Arc::clone(&face), admit))
+        .layer(middleware::from_fn_with_state(sync::Arc::clone(&context), admit))
         .layer(axum::extract::DefaultBodyLimit::max(LARGEST_BODY))
-        .with_state(face)
+        .with_state(context)
 }
 
 /// Lets a request pass whose token allows its method.
-async fn admit(State(face): State<Shared>, request: Request, next: middleware::Next) -> Response {
-    let Some(operator) = face.access.check(request.headers()) else {
+async fn admit(
+    State(context): State<Shared>,
+    request: Request,
+    next: middleware::Next,
+) -> Response {
+    let Some(operator) = context.access.check(request.headers()) else {
         let problem = Problem::new(StatusCode::UNAUTHORIZED, "expected a valid bearer token");
         return problem.into_response();
     };
@@ -88,23 +95,23 @@
     next.run(request).await
 }
 
-async fn state(State(face): State<Shared>) -> Result<Json<dump::Dump>, Problem> {
-    let pressure = face.decisions.pressure();
-    let (calls, figures) = (face.calls.counts(), face.stats.figures());
-    let dump = face.decisions.look(move |s| dump::Dump::new(s, pressure, calls, figures)).await;
+async fn state(State(context): State<Shared>) -> Result<Json<dump::Dump>, Problem> {
+    let pressure = context.handle.pressure();
+    let (calls, figures) = (context.calls.counts(), context.stats.figures());
+    let dump = context.handle.look(move |s| dump::Dump::new(s, pressure, calls, figures)).await;
     dump.map(Json).ok_or_else(Problem::busy)
 }
 
 async fn list(
-    State(face): State<Shared>,
+    State(context): State<Shared>,
     Path(kind): Path<String>,
     Query(query): Query<collections::BTreeMap<String, String>>,
 ) -> Result<Response, Problem> {
     let kind = parse_kind(&kind)?;
     if query.get("watch").is_some_and(|value| value == "true") {
-        return Ok(stream::watch(kind, face.decisions.views()));
+        return Ok(stream::watch(kind, context.handle.views()));
     }
-    let view = face.decisions.view();
+    let view = context.handle.view();
     let resources = view.config.snapshot.resources().into_iter();
     let items: Vec<status::Item> = resources
         .filter(|(_, r)| r.kind() == kind)
@@ -115,11 +122,11 @@
 }
 
 async fn get(
-    State(face): State<Shared>,
+    State(context): State<Shared>,
     Path((kind, name)): Path<(String, String)>,
 ) -> Result<Response, Problem> {
     let kind = parse_kind(&kind)?;
-    let view = face.decisions.view();
+    let view = context.handle.view();
     let found = view.config.snapshot.resource(kind, &name);
     let (revision, found) = found.ok_or_else(|| Problem::missing(&format!("{kind} {name}")))?;
     let tag = [(header::ETAG, etag(view.config.revision()))];
@@ -127,7 +134,7 @@
 }
 
 async fn put(
-    State(face): State<Shared>,
+    State(context): State<Shared>,
     Path((kind, name)): Path<(String, String)>,
     headers: HeaderMap,
     body: body::Bytes,
@@ -139,35 +146,35 @@
         let message = format!("the path names {name}, the body {}", resource.name());
         return Err(Problem::new(StatusCode::BAD_REQUEST, message));
     }
-    change_one(&face, &headers, change::Step::Put { resource }).await
+    change_one(&context, &headers, change::Step::Put { resource }).await
 }
 
 async fn delete(
-    State(face): State<Shared>,
+    State(context): State<Shared>,
     Path((kind, name)): Path<(String, String)>,
     headers: HeaderMap,
 ) -> Result<Response, Problem> {
     let kind = parse_kind(&kind)?;
-    change_one(&face, &headers, change::Step::Delete { kind, name }).await
+    change_one(&context, &headers, change::Step::Delete { kind, name }).await
 }
 
-async fn apply(State(face): State<Shared>, body: body::Bytes) -> Result<Response, Problem> {
+async fn apply(State(context): State<Shared>, body: body::Bytes) -> Result<Response, Problem> {
     let change: change::Change = document::read("body", text(&body)?).map_err(bad_document)?;
     if change.operation.is_empty() || change.operation.len() > MOST_OPERATION {
         let message = "operation: expected an id of 1 to 128 characters";
         return Err(Problem::new(StatusCode::BAD_REQUEST, message));
     }
-    submit(&face, change).await
+    submit(&context, change).await
 }
 
 /// Longest operation id, in bytes.
 const MOST_OPERATION: usize = 128;
 
 async fn operation(
-    State(face): State<Shared>,
+    State(context): State<Shared>,
     Path(operation): Path<String>,
 ) -> Result<Json<status::Operation>, Problem> {
-    let view = face.decisions.view();
+    let view = context.handle.view();
     let found = status::Operation::find(&view, &operation);
     found.map(Json).ok_or_else(|| {
         let revision = view.config.revision();
@@ -179,7 +186,7 @@
 }
 
 async fn change_one(
-    face: &Face,
+    context: &Context,
     headers: &HeaderMap,
     step: change::Step,
 ) -> Result<Response, Problem> {
@@ -192,18 +199,18 @@
             Problem::new(StatusCode::BAD_REQUEST, "If-Match: expected a revision in quotes")
         })?),
     };
-    submit(face, change::Change { operation, expected, steps: vec![step] }).await
+    submit(context, change::Change { operation, expected, steps: vec![step] }).await
 }
 
-async fn submit(face: &Face, change: change::Change) -> Result<Response, Problem> {
+async fn submit(context: &Context, change: change::Change) -> Result<Response, Problem> {
     let operation = change.operation.clone();
     let (reply, outcome) = oneshot::channel();
-    let wish = keep::Wish { change, reply };
-    face.wishes.try_send(wish).map_err(|_| Problem::busy())?;
+    let write = follower::Write { change, reply };
+    context.writes.try_send(write).map_err(|_| Problem::busy())?;
     // A lost reply means that the process is ending; the write may have been sent.
     let outcome = outcome.await.unwrap_or(accept::Outcome::Unknown { operation });
     if let accept::Outcome::Accepted { revision } = &outcome {
-        await_revision(face, *revision).await;
+        await_revision(context, *revision).await;
     }
     let status = match &outcome {
         accept::Outcome::Accepted { .. } => StatusCode::OK,
@@ -219,8 +226,8 @@
 }
 
 /// Waits until this node acts on a revision, so that an operator reads what was just written.
-async fn await_revision(face: &Face, revision: revision::Revision) {
-    let mut views = face.decisions.views();
+async fn await_revision(context: &Context, revision: revision::Revision) {
+    let mut views = context.handle.views();
     let seen = views.wait_for(|view| view.config.revision() >= revision);
     let _ = tokio::time::timeout(READ_WRITTEN, seen).await;
 }
--- a/crates/node/src/owner/operators/dump.rs
+++ b/crates/node/src/owner/operators/dump.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::common::store::client;
-use crate::owner::decider;
+use crate::owner::event_loop;
 use crate::owner::stats;
 
 /// The state of a node.
@@ -46,7 +46,7 @@
     pub requests: Requests,
     /// Calls to the store.
     pub store: client::Counts,
-    /// Figures of the callers' face.
+    /// Figures of the callers' server.
     pub callers: stats::Figures,
 }
 
@@ -61,7 +61,7 @@
     pub is_alive: bool,
     /// Whether it is stopping.
     pub is_leaving: bool,
-    /// Milliseconds since it was last heard of.
+    /// Milliseconds since it was last seen.
     pub silent_ms: u128,
     /// The configuration it acts on.
     pub revision: u64,
@@ -152,7 +152,7 @@
     /// Makes the dump of a state.
     #[must_use]
     pub fn new(
-        state: &decider::State<'_>,
+        state: &event_loop::State<'_>,
         pressure: (usize, usize, u64),
         store: client::Counts,
         callers: stats::Figures,
--- a/crates/node/src/owner/operators/mod.rs
+++ b/crates/node/src/owner/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' face: the resource API with watches, and the dump.
+//! For operators: the resource API with watches, and the dump.
 
 pub mod access;
 pub mod api;
--- a/crates/node/src/owner/operators/problem.rs
+++ b/crates/node/src/owner/operators/problem.rs
@@ -1,4 +1,4 @@
-//! Error answers of the operators' face.
+//! Error answers of the resource API.
 
 use axum::Json;
 use axum::response::{IntoResponse, Response};
--- a/crates/node/src/owner/peers/links.rs
+++ b/crates/node/src/owner/peers/connections.rs
@@ -1,4 +1,6 @@
-//! Links: the connections to other nodes' faces for peers.
+//! Connections to other nodes, one for each address.
+//!
+//! Owns them and their windows. Relies on tonic to keep each alive.
 
 use std::collections;
 use std::net;
@@ -29,18 +31,18 @@
 pub const STREAM_WINDOW: u32 = 256 << 10;
 
 /// A connection that is made when it is first wanted.
-type Link = sync::Arc<OnceCell<transport::Channel>>;
+type Connection = sync::Arc<OnceCell<transport::Channel>>;
 
 /// Connections to other nodes, one for each address.
 ///
 /// Requests that want one at the same time wait for the same one. Were each to make its own, all but
 /// the last would be dropped, and with them the answers that stream over them.
 #[derive(Clone, Debug, Default)]
-pub struct Links {
-    open: sync::Arc<sync::Mutex<collections::HashMap<net::SocketAddr, Link>>>,
+pub struct Connections {
+    open: sync::Arc<sync::Mutex<collections::HashMap<net::SocketAddr, Connection>>>,
 }
 
-impl Links {
+impl Connections {
     /// Returns a client for the node at `address`, connected.
     ///
     /// # Errors
@@ -61,7 +63,7 @@
         self.lock().remove(&address);
     }
 
-    fn lock(&self) -> sync::MutexGuard<'_, collections::HashMap<net::SocketAddr, Link>> {
+    fn lock(&self) -> sync::MutexGuard<'_, collections::HashMap<net::SocketAddr, Connection>> {
         self.open.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 }
--- a/crates/node/src/owner/peers/convert.rs
+++ b/crates/node/src/owner/peers/convert.rs
@@ -1,4 +1,7 @@
-//! Between the decisions' heartbeats and the messages that carry them.
+//! Translates heartbeats between the decisions' types and the wire's messages.
+//!
+//! The wire's names differ where they are older: news is an update, a pulse a liveness counter, a loan a
+//! lease, and `borrows` asks for leases. Owns nothing; relies on `wire` for the messages.
 
 use std::sync;
 use std::time::Duration;
--- a/crates/node/src/owner/peers/carrier.rs
+++ b/crates/node/src/owner/peers/forwarder.rs
@@ -1,4 +1,6 @@
-//! Carrying a request to its owner on another node, and its answer back.
+//! Forwards a request to its owner on another node, and its answer to the caller.
+//!
+//! Owns the exchange's deadline and the verdict of one that broke. Relies on [`connections`].
 
 use std::io;
 use std::net;
@@ -17,8 +19,8 @@
 
 use crate::common::body;
 use crate::owner::failed;
+use crate::owner::peers::connections;
 use crate::owner::peers::convert;
-use crate::owner::peers::links;
 
 /// Parts of a body that wait to be sent.
 const PARTS: usize = 8;
@@ -29,36 +31,36 @@
 /// Time beyond a request's deadline in which its owner's own verdict may still arrive.
 const VERDICT_GRACE: Duration = Duration::from_millis(250);
 
-/// Carries requests over links.
+/// Forwards requests to other nodes.
 #[derive(Clone, Debug, Default)]
-pub struct Carrier {
-    links: links::Links,
+pub struct Forwarder {
+    connections: connections::Connections,
 }
 
-impl Carrier {
-    /// Makes a carrier on `links`.
+impl Forwarder {
+    /// Makes a forwarder on `connections`.
     #[must_use]
-    pub fn new(links: links::Links) -> Self {
-        Self { links }
+    pub fn new(connections: connections::Connections) -> Self {
+        Self { connections }
     }
 
-    /// Carries a request to the node at `address`. A kept body goes at once; a streamed one when
-    /// the owner holds a slot, so that it can go elsewhere when there is none.
+    /// Forwards a request to the node at `address`.
     ///
-    /// `told` hears how much of its slots the service uses at the owner.
+    /// A buffered body is sent at once; a streamed one when the owner has a slot, so that it can still
+    /// be sent elsewhere when there is none. `report` is called with the owner's usage.
     ///
     /// # Errors
     ///
     /// Fails with the verdict of the other node, or one about the connection.
-    pub async fn carry(
+    pub async fn forward(
         &self,
         address: net::SocketAddr,
         head: peer::RequestHead,
         source: &mut body::Source,
-        told: impl Fn(heartbeat::Usage),
+        report: impl Fn(heartbeat::Usage),
     ) -> Result<Response<body::Body>, failed::Failed> {
         let left = Duration::from_millis(head.remaining_ms) + VERDICT_GRACE;
-        match tokio::time::timeout(left, self.exchange(address, head, source, told)).await {
+        match tokio::time::timeout(left, self.exchange(address, head, source, report)).await {
             Ok(result) => result,
             Err(_) => Err(failed::Failed::before(verdict::Failure::may_have_run(
                 verdict::Reason::Deadline,
@@ -71,9 +73,9 @@
         address: net::SocketAddr,
         head: peer::RequestHead,
         source: &mut body::Source,
-        told: impl Fn(heartbeat::Usage),
+        report: impl Fn(heartbeat::Usage),
     ) -> Result<Response<body::Body>, failed::Failed> {
-        let Ok(mut client) = self.links.client(address).await else {
+        let Ok(mut client) = self.connections.client(address).await else {
             return Err(unreached());
         };
         let (parts, upload) = mpsc::channel(PARTS);
@@ -83,12 +85,12 @@
         };
         let is_kept = kept.is_some();
         send_first(&parts, head, kept).await;
-        // A kept body ends here, so that the way up is closed cleanly and not reset afterwards.
+        // A buffered body ends here, so that the upload is closed cleanly and not reset afterwards.
         let mut parts = (!is_kept).then_some(parts);
         let mut download = match client.carry(ReceiverStream::new(upload)).await {
             Ok(answer) => answer.into_inner(),
-            Err(status) if links::was_never_sent(&status) => {
-                self.links.forget(address);
+            Err(status) if connections::was_never_sent(&status) => {
+                self.connections.forget(address);
                 return Err(unreached());
             }
             Err(status) => {
@@ -108,7 +110,7 @@
                 Some(peer::download::Part::Go(go)) => {
                     upstream = name_of(&go.upstream).or(upstream);
                     if let Some(usage) = go.usage {
-                        told(convert::usage_in(usage));
+                        report(convert::usage_in(usage));
                     }
                     if let Some(parts) = parts.take() {
                         tokio::spawn(send_body(source.take(), parts));
@@ -117,7 +119,7 @@
                 Some(peer::download::Part::Head(head)) => return answer(head, download),
                 Some(peer::download::Part::Failure(failure)) => {
                     if let Some(usage) = failure.usage {
-                        told(convert::usage_in(usage));
+                        report(convert::usage_in(usage));
                     }
                     read_to_end(&mut download).await;
                     return Err(failure_of(&failure));
@@ -149,7 +151,7 @@
     }
 }
 
-/// Sends a streamed body. One that breaks off is left without its end, so that the owner sees it.
+/// Sends a streamed body. One that breaks off is sent without its end, so that the owner notices.
 async fn send_body(mut body: body::Body, parts: mpsc::Sender<peer::Upload>) {
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return };
@@ -200,7 +202,7 @@
     while let Ok(Some(_)) = stream.message().await {}
 }
 
-/// Returns headers as a map; what no library accepts is left out.
+/// Returns headers as a map; malformed ones, which no HTTP library could have sent, are left out.
 #[must_use]
 pub fn headers(list: &[peer::Header]) -> HeaderMap {
     let mut map = HeaderMap::with_capacity(list.len());
--- a/crates/node/src/owner/peers/heartbeats.rs
+++ b/crates/node/src/owner/peers/heartbeats.rs
@@ -1,4 +1,7 @@
-//! Sending heartbeats and fetching configurations, as the decisions ask.
+//! Sends heartbeats and fetches configurations, as the decisions ask.
+//!
+//! Owns the time limits of both. Relies on [`connections`]. A failed call becomes an event, and the next
+//! heartbeat makes up for it.
 
 use std::net;
 use std::sync;
@@ -10,33 +13,33 @@
 use tokio::sync::{Semaphore, mpsc};
 use wire::peer;
 
-use crate::owner::decisions;
+use crate::owner::handle;
+use crate::owner::peers::connections;
 use crate::owner::peers::convert;
-use crate::owner::peers::face;
-use crate::owner::peers::links;
+use crate::owner::peers::server;
 
-/// Time for an answer to a heartbeat.
+/// Time for an answer to a heartbeat. Not measured; two periods of heartbeats.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for an answer to a fetch.
+/// Time for an answer to a fetch. Not measured.
 const FETCH_TIME: Duration = Duration::from_secs(3);
 
-/// Calls that may be out at once.
+/// Calls that may be out at once. Not measured.
 const CALLS: usize = 64;
 
 /// Sends what the decisions ask for until their ring closes.
-pub async fn run(decisions: decisions::Handle, mut outgoing: mpsc::Receiver<decisions::Outgoing>) {
-    let links = links::Links::default();
+pub async fn run(handle: handle::Handle, mut outgoing: mpsc::Receiver<handle::Outgoing>) {
+    let connections = connections::Connections::default();
     let calls = sync::Arc::new(Semaphore::new(CALLS));
     while let Some(next) = outgoing.recv().await {
         let Ok(permit) = sync::Arc::clone(&calls).acquire_owned().await else { return };
-        let (decisions, links) = (decisions.clone(), links.clone());
+        let (handle, connections) = (handle.clone(), connections.clone());
         tokio::spawn(async move {
             match next {
-                decisions::Outgoing::Heartbeat { to, node, heartbeat, made } => {
-                    send(&decisions, &links, to, node, *heartbeat, made).await;
+                handle::Outgoing::Heartbeat { to, node, heartbeat, made } => {
+                    send(&handle, &connections, to, node, *heartbeat, made).await;
                 }
-                decisions::Outgoing::Fetch { from } => fetch(&decisions, &links, from).await,
+                handle::Outgoing::Fetch { from } => fetch(&handle, &connections, from).await,
             }
             drop(permit);
         });
@@ -44,15 +47,15 @@
 }
 
 async fn send(
-    decisions: &decisions::Handle,
-    links: &links::Links,
+    handle: &handle::Handle,
+    connections: &connections::Connections,
     to: net::SocketAddr,
     node: Option<id::Node>,
     heartbeat: heartbeat::Request,
     made: Instant,
 ) {
     let call = async {
-        let mut client = links.client(to).await.ok()?;
+        let mut client = connections.client(to).await.ok()?;
         let reply = client.beat(convert::request_out(heartbeat)).await.ok()?;
         convert::reply_in(reply.into_inner())
     };
@@ -60,23 +63,27 @@
     let event = match (reply, node) {
         (Some(reply), _) => event::Event::Replied { reply: Box::new(reply), sent: made },
         (None, Some(node)) => {
-            links.forget(to);
+            connections.forget(to);
             event::Event::Unanswered { node }
         }
-        (None, None) => return links.forget(to),
+        (None, None) => return connections.forget(to),
     };
-    let _ = decisions.tell(event);
+    let _ = handle.tell(event);
 }
 
-async fn fetch(decisions: &decisions::Handle, links: &links::Links, from: net::SocketAddr) {
-    let newer_than = decisions.view().config.revision().0;
+async fn fetch(
+    handle: &handle::Handle,
+    connections: &connections::Connections,
+    from: net::SocketAddr,
+) {
+    let newer_than = handle.view().config.revision().0;
     let call = async {
-        let client = links.client(from).await.ok()?;
-        let mut client = client.max_decoding_message_size(face::LARGEST_MESSAGE);
+        let client = connections.client(from).await.ok()?;
+        let mut client = client.max_decoding_message_size(server::LARGEST_MESSAGE);
         let reply = client.fetch(peer::FetchRequest { newer_than }).await.ok()?;
         serde_json::from_slice(&reply.into_inner().document).ok()
     };
     if let Ok(Some(snapshot)) = tokio::time::timeout(FETCH_TIME, call).await {
-        let _ = decisions.tell(event::Event::Configure { snapshot: sync::Arc::new(snapshot) });
+        let _ = handle.tell(event::Event::Configure { snapshot: sync::Arc::new(snapshot) });
     }
 }
--- a/crates/node/src/owner/peers/mod.rs
+++ b/crates/node/src/owner/peers/mod.rs
@@ -1,7 +1,7 @@
-//! The peers' face: heartbeats, configurations and requests between nodes.
+//! Between nodes: heartbeats, configurations and forwarded requests.
 
-pub mod carrier;
+pub mod connections;
 pub mod convert;
-pub mod face;
+pub mod forwarder;
 pub mod heartbeats;
-pub mod links;
+pub mod server;
--- a/crates/node/src/owner/peers/face.rs
+++ b/crates/node/src/owner/peers/server.rs
@@ -1,4 +1,7 @@
-//! The server of the peers' face.
+//! The peers' server: heartbeats, configurations and requests of other nodes.
+//!
+//! Owns the streams that peers open. Relies on the decisions for heartbeats, on [`runner`] for requests
+//! that this node owns the upstream of, and on [`entry`] for those it routes on.
 
 use std::io;
 use std::sync;
@@ -21,11 +24,11 @@
 
 use crate::common::body;
 use crate::owner::callers::entry;
-use crate::owner::decisions;
 use crate::owner::failed;
-use crate::owner::peers::carrier;
+use crate::owner::handle;
+use crate::owner::peers::connections;
 use crate::owner::peers::convert;
-use crate::owner::peers::links;
+use crate::owner::peers::forwarder;
 use crate::owner::runner;
 
 /// Parts of an answer that wait to be sent.
@@ -37,31 +40,31 @@
 /// Streams one peer may have open.
 const STREAMS: u32 = 4_096;
 
-/// What the peers' face works with.
+/// The peers' server.
 #[derive(Clone, Debug)]
-pub struct Face {
+pub struct Server {
     /// The decisions.
-    pub decisions: decisions::Handle,
+    pub handle: handle::Handle,
     /// Runs requests at upstreams of this owner.
     pub runner: runner::Runner,
     /// Enters requests whose ticket this node issued.
     pub entry: entry::Entry,
 }
 
-/// Serves the peers' face.
+/// Serves peers until the listener fails.
 ///
 /// # Errors
 ///
 /// Fails when the listener does.
-pub async fn serve(face: Face, listener: TcpListener) -> Result<(), tonic::transport::Error> {
-    let server = PeerServer::new(face)
+pub async fn serve(server: Server, listener: TcpListener) -> Result<(), tonic::transport::Error> {
+    let server = PeerServer::new(server)
         .max_decoding_message_size(LARGEST_MESSAGE)
         .max_encoding_message_size(LARGEST_MESSAGE);
     // The server's own setting does not reach connections that it did not accept itself.
     let incoming = server::TcpIncoming::from(listener).with_nodelay(Some(true));
     tonic::transport::Server::builder()
-        .initial_connection_window_size(links::CONNECTION_WINDOW)
-        .initial_stream_window_size(links::STREAM_WINDOW)
+        .initial_connection_window_size(connections::CONNECTION_WINDOW)
+        .initial_stream_window_size(connections::STREAM_WINDOW)
         .max_concurrent_streams(Some(STREAMS))
         .add_service(server)
         .serve_with_incoming(incoming)
@@ -69,7 +72,7 @@
 }
 
 #[tonic::async_trait]
-impl Peer for Face {
+impl Peer for Server {
     type CarryStream = ReceiverStream<Result<peer::Download, Status>>;
 
     async fn carry(
@@ -77,11 +80,11 @@
         request: Request<Streaming<peer::Upload>>,
     ) -> Result<tonic::Response<Self::CarryStream>, Status> {
         let (parts, download) = mpsc::channel(PARTS);
-        let face = self.clone();
+        let server = self.clone();
         tokio::spawn(async move {
             let gone = parts.clone();
             tokio::select! {
-                () = face.run(request.into_inner(), parts) => {}
+                () = server.run(request.into_inner(), parts) => {}
                 // The entry gave up; dropping the work cancels it at the upstream.
                 () = gone.closed() => {}
             }
@@ -95,7 +98,7 @@
     ) -> Result<tonic::Response<peer::BeatReply>, Status> {
         let heartbeat = convert::request_in(request.into_inner())
             .ok_or_else(|| Status::invalid_argument("the heartbeat is malformed"))?;
-        let reply = self.decisions.heartbeat(heartbeat).await;
+        let reply = self.handle.heartbeat(heartbeat).await;
         let reply = reply.ok_or_else(|| Status::resource_exhausted("the node is busy"))?;
         Ok(tonic::Response::new(convert::reply_out(reply)))
     }
@@ -104,7 +107,7 @@
         &self,
         request: Request<peer::FetchRequest>,
     ) -> Result<tonic::Response<peer::FetchReply>, Status> {
-        let config = sync::Arc::clone(&self.decisions.view().config);
+        let config = sync::Arc::clone(&self.handle.view().config);
         let is_newer = config.revision() > revision::Revision(request.into_inner().newer_than);
         let document = match is_newer {
             true => config.document.to_vec(),
@@ -115,7 +118,7 @@
     }
 }
 
-impl Face {
+impl Server {
     async fn run(&self, mut upload: Streaming<peer::Upload>, parts: Parts) {
         let first = upload.message().await.ok().flatten().and_then(|upload| upload.part);
         let result = match first {
@@ -160,7 +163,7 @@
     ) -> Result<Response<body::Body>, failed::Failed> {
         let order = self.order(&head)?;
         let body = upload_body(upload, Some(parts.clone()));
-        let region = self.decisions.view().region.clone();
+        let region = self.handle.view().region.clone();
         let result = self.entry.enter(order, body::Source::Streamed(body), Some(region)).await;
         result.map_err(failed::Failed::before)
     }
@@ -178,7 +181,7 @@
     }
 
     fn order(&self, head: &peer::RequestHead) -> Result<runner::Order, failed::Failed> {
-        let view = self.decisions.view();
+        let view = self.handle.view();
         let service = view.config.snapshot.services.get(head.service.as_str());
         let not_home =
             || failed::Failed::before(verdict::Failure::not_run(verdict::Reason::NotHome));
@@ -189,8 +192,8 @@
             place: id::Place::new(&head.place),
             method,
             path: head.path.clone(),
-            headers: carrier::headers(&head.headers),
-            deadline: self.decisions.now() + Duration::from_millis(head.remaining_ms),
+            headers: forwarder::headers(&head.headers),
+            deadline: self.handle.now() + Duration::from_millis(head.remaining_ms),
             avoid: head.avoid.iter().map(|name| id::Upstream::new(name)).collect(),
             may_wait: head.may_wait,
         })
@@ -208,7 +211,7 @@
     let (head, mut body) = answer.into_parts();
     let head = peer::ResponseHead {
         status: u32::from(head.status.as_u16()),
-        headers: carrier::header_list(&head.headers),
+        headers: forwarder::header_list(&head.headers),
     };
     if send(parts, peer::download::Part::Head(head)).await.is_err() {
         return;
@@ -217,7 +220,7 @@
         let Ok(frame) = frame else { return };
         let Ok(mut data) = frame.into_data() else { continue };
         while !data.is_empty() {
-            let part = data.split_to(data.len().min(carrier::LARGEST_PART)).to_vec();
+            let part = data.split_to(data.len().min(forwarder::LARGEST_PART)).to_vec();
             if send(parts, peer::download::Part::Data(part)).await.is_err() {
                 return;
             }
@@ -241,7 +244,7 @@
                 Some((Ok(Frame::data(Bytes::from(data))), Some((upload, None))))
             }
             Some(peer::upload::Part::End(_)) => {
-                carrier::read_to_end(&mut upload).await;
+                forwarder::read_to_end(&mut upload).await;
                 None
             }
             _ => Some((Err(io::Error::from(io::ErrorKind::UnexpectedEof)), None)),
--- a/crates/node/src/owner/probes.rs
+++ b/crates/node/src/owner/probes.rs
@@ -1,4 +1,7 @@
-//! Probes: asking the upstreams of this region for their health and load.
+//! Probes the upstreams that this node owns for their health and load.
+//!
+//! Owns the period. Relies on each service's `report` path; an upstream without an answer counts as one
+//! missed probe.
 
 use std::collections;
 use std::net;
@@ -15,15 +18,15 @@
 use steer::ownership::report;
 use tokio::sync::Semaphore;
 
-use crate::owner::decisions;
+use crate::owner::handle;
 
-/// Time between two probes of one upstream.
+/// Time between two probes of one upstream. Not measured.
 const EVERY: Duration = Duration::from_secs(1);
 
-/// Time for an answer.
+/// Time for an answer. Not measured.
 const PROBE_TIME: Duration = Duration::from_millis(800);
 
-/// Probes that may be out at once.
+/// Probes that may be out at once. Not measured.
 const PROBES: usize = 32;
 
 /// Largest report, in bytes.
@@ -31,23 +34,23 @@
 
 type Http = legacy::Client<HttpConnector, Empty<Bytes>>;
 
-/// Probes for ever, each upstream that this node is owner of or stands in for.
-pub async fn run(decisions: decisions::Handle) {
+/// Probes for ever each upstream that this node owns or still runs requests at.
+pub async fn run(handle: handle::Handle) {
     let http: Http =
         legacy::Client::builder(rt::TokioExecutor::new()).pool_max_idle_per_host(1).build_http();
     let permits = sync::Arc::new(Semaphore::new(PROBES));
     loop {
-        let ranked = decisions.look(|state| ranked(state.core)).await.unwrap_or_default();
-        let view = decisions.view();
-        for (upstream, address) in ranked {
+        let probed = handle.look(|state| probed(state.core)).await.unwrap_or_default();
+        let view = handle.view();
+        for (upstream, address) in probed {
             let service = view.config.snapshot.services.get(&upstream.service);
             let Some(path) = service.and_then(|s| s.spec.report.clone()) else { continue };
             let Ok(permit) = sync::Arc::clone(&permits).acquire_owned().await else { return };
-            let (http, decisions) = (http.clone(), decisions.clone());
+            let (http, handle) = (http.clone(), handle.clone());
             tokio::spawn(async move {
                 let probe = tokio::time::timeout(PROBE_TIME, probe(&http, address, &path));
                 let report = probe.await.ok().flatten();
-                let _ = decisions.tell(event::Event::Probed { upstream, report });
+                let _ = handle.tell(event::Event::Probed { upstream, report });
                 drop(permit);
             });
         }
@@ -55,8 +58,8 @@
     }
 }
 
-/// Returns the upstreams this node has a share of, the ones whose work it may have to run.
-fn ranked(
+/// Returns the upstreams that this node owns or still runs requests at.
+fn probed(
     core: &steer::ownership::core::Core,
 ) -> collections::BTreeMap<upstream::Key, net::SocketAddr> {
     let upstreams = core.owner.upstreams.iter();
--- a/crates/node/src/owner/runner.rs
+++ b/crates/node/src/owner/runner.rs
@@ -1,4 +1,7 @@
-//! Running a request at an upstream of this owner, in a slot that the decisions gave.
+//! Runs a request at an upstream, in a slot that the decisions gave.
+//!
+//! Owns the connections to upstreams, and gives each slot back with the outcome of its exchange. Relies on
+//! the decisions for slots.
 
 use std::future::Future as _;
 use std::io;
@@ -22,8 +25,8 @@
 
 use crate::common::body;
 use crate::common::head;
-use crate::owner::decisions;
 use crate::owner::failed;
+use crate::owner::handle;
 
 /// Time to make a connection to an upstream.
 const CONNECT_TIME: Duration = Duration::from_secs(1);
@@ -55,11 +58,11 @@
     pub may_wait: bool,
 }
 
-/// What runs requests; each duty that does so has its own connections.
+/// Runs requests; each thread that does so has its own connections.
 #[derive(Clone, Debug)]
 pub struct Runner {
     client: legacy::Client<HttpConnector, body::Body>,
-    decisions: decisions::Handle,
+    handle: handle::Handle,
 }
 
 /// A slot at an upstream.
@@ -70,13 +73,13 @@
     /// How much of its slots the service uses here.
     pub usage: heartbeat::Usage,
     address: std::net::SocketAddr,
-    offered: decisions::Offered,
+    offered: handle::Offered,
 }
 
 impl Runner {
     /// Makes a runner without connections.
     #[must_use]
-    pub fn new(decisions: decisions::Handle) -> Self {
+    pub fn new(handle: handle::Handle) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIME));
         connector.set_nodelay(true);
@@ -85,7 +88,7 @@
             .pool_max_idle_per_host(IDLE_CONNECTIONS)
             .pool_idle_timeout(IDLE_TIME)
             .build(connector);
-        Self { client, decisions }
+        Self { client, handle }
     }
 
     /// Waits for a slot.
@@ -102,15 +105,15 @@
             avoid: order.avoid.clone(),
             may_wait: order.may_wait,
         };
-        let (offered, decision, usage) = self.decisions.offer(offer).await;
+        let (offered, decision, usage) = self.handle.offer(offer).await;
         match decision {
-            decisions::Decision::Run { upstream, address } => {
+            handle::Decision::Run { upstream, address } => {
                 Ok(Slot { upstream, usage, address, offered })
             }
-            decisions::Decision::Refuse(failure) => {
+            handle::Decision::Refuse(failure) => {
                 Err(failed::Failed { usage: Some(usage), ..failed::Failed::before(failure) })
             }
-            decisions::Decision::Forward { .. } => {
+            handle::Decision::Forward { .. } => {
                 Err(failed::Failed::before(verdict::Failure::not_run(verdict::Reason::NotHome)))
             }
         }
@@ -136,7 +139,7 @@
             slot.offered.done(request::Outcome::Shed);
             return Err(fail(verdict::Failure::not_run(verdict::Reason::BadRequest)));
         };
-        let left = order.deadline.saturating_duration_since(self.decisions.now());
+        let left = order.deadline.saturating_duration_since(self.handle.now());
         let answer = match tokio::time::timeout(left, self.client.request(request)).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) if error.is_connect() => {
@@ -158,7 +161,7 @@
             slot.offered.done(request::Outcome::Shed);
             return Err(fail(verdict::Failure::not_run(verdict::Reason::Shed)));
         }
-        let left = order.deadline.saturating_duration_since(self.decisions.now());
+        let left = order.deadline.saturating_duration_since(self.handle.now());
         let (mut parts, inner) = answer.into_parts();
         head::clean(&mut parts.headers);
         let guarded = Guarded {
@@ -177,7 +180,7 @@
         let headers = request.headers_mut();
         *headers = order.headers.clone();
         headers.insert(header::HOST, HeaderValue::from_str(&order.service.host).ok()?);
-        let clock = self.decisions.clock();
+        let clock = self.handle.clock();
         let left = order.deadline.saturating_duration_since(clock.now());
         let end = clock.wall() + left;
         let since = end.duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
@@ -190,7 +193,7 @@
 /// An answer's body that holds its slot until it ends.
 struct Guarded {
     inner: hyper::body::Incoming,
-    offered: Option<decisions::Offered>,
+    offered: Option<handle::Offered>,
     deadline: Pin<Box<tokio::time::Sleep>>,
 }
 
--- a/crates/node/src/owner/stats.rs
+++ b/crates/node/src/owner/stats.rs
@@ -1,4 +1,4 @@
-//! Figures of the callers' face, for the dump.
+//! Figures of the callers' server, for the dump.
 
 use std::collections;
 use std::sync;
@@ -9,7 +9,7 @@
 use model::verdict;
 use serde::Serialize;
 
-/// Longest time that is told apart, in microseconds.
+/// Longest time that is recorded, in microseconds.
 const LONGEST_US: u64 = 120_000_000;
 
 /// Digits of a time that are kept.
--- a/crates/node/src/owner/store/keep.rs
+++ b/crates/node/src/owner/store/follower.rs
@@ -1,8 +1,8 @@
-//! Keeping up with the store: configuration and the region's table, read, watched and written.
+//! Follows the store: the configuration and the region's table, read, watched and written.
 //!
 //! Every node reads both once when it starts. After that only the first two nodes of each region
 //! watch, so that the store's calls grow with the regions and not with the fleet; the others learn
-//! from their peers.
+//! from their peers. Owns the pauses after failures. Relies on [`accept`] for what may be written.
 
 use std::sync;
 use std::time::Duration;
@@ -18,53 +18,54 @@
 
 use crate::common::store::accept;
 use crate::common::store::edge;
-use crate::owner::decisions;
+use crate::owner::handle;
 use crate::owner::view;
 
-/// Time that one watch waits.
+/// Time that one watch waits. Not measured; docs/CAPACITY.md counts its calls.
 const WATCH: Duration = Duration::from_secs(25);
 
-/// Pause after a call that failed, doubled up to [`LONGEST_PAUSE`].
+/// Pause after a call that failed, not measured; doubled up to [`LONGEST_PAUSE`].
 const PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest pause after calls that failed; also how late the end of an outage may be noticed.
+/// Longest pause after calls that failed; also how late the end of an outage may be noticed. Not
+/// measured.
 const LONGEST_PAUSE: Duration = Duration::from_secs(4);
 
-/// A change that an operator asks for.
+/// An operator's change that is to be written.
 #[derive(Debug)]
-pub struct Wish {
+pub struct Write {
     /// The change.
     pub change: change::Change,
     /// Where its outcome goes.
     pub reply: oneshot::Sender<accept::Outcome>,
 }
 
-/// What the duty works with.
+/// Follows the store for one node.
 #[derive(Debug)]
-pub struct Keeper<S> {
+pub struct Follower<S> {
     store: sync::Arc<S>,
-    decisions: decisions::Handle,
+    handle: handle::Handle,
     region: id::Region,
 }
 
-impl<S: edge::Store> Keeper<S> {
-    /// Makes a keeper.
+impl<S: edge::Store> Follower<S> {
+    /// Makes a follower.
     #[must_use]
-    pub fn new(store: S, decisions: decisions::Handle, region: id::Region) -> Self {
-        Self { store: sync::Arc::new(store), decisions, region }
+    pub fn new(store: S, handle: handle::Handle, region: id::Region) -> Self {
+        Self { store: sync::Arc::new(store), handle, region }
     }
 
     /// Works until the rings close.
     pub async fn run(
         self,
         tables: mpsc::Receiver<sync::Arc<table::Table>>,
-        wishes: mpsc::Receiver<Wish>,
+        writes: mpsc::Receiver<Write>,
     ) {
         tokio::join!(
             self.follow_config(),
             self.follow_table(),
             self.write_tables(tables),
-            self.grant(wishes)
+            self.apply_writes(writes)
         );
     }
 
@@ -72,7 +73,7 @@
         self.follow(accept::KEY, |value| match value.map(accept::parse) {
             Some(Some(standing)) => {
                 let event = event::Event::Configure { snapshot: standing.snapshot };
-                let _ = self.decisions.tell(event);
+                let _ = self.handle.tell(event);
             }
             Some(None) => log::error!(key = accept::KEY; "store-value-malformed"),
             None => {}
@@ -83,17 +84,17 @@
     async fn follow_table(&self) {
         let key = key_of(&self.region);
         self.follow(&key, |value| match value.map(parse_table) {
-            Some(Some(table)) => self.tell_table(sync::Arc::new(table)),
+            Some(Some(table)) => self.apply_table(sync::Arc::new(table)),
             Some(None) => log::error!(key = key.as_str(); "store-value-malformed"),
-            None => self.tell_table(sync::Arc::new(table::Table::empty(&self.region))),
+            None => self.apply_table(sync::Arc::new(table::Table::empty(&self.region))),
         })
         .await;
     }
 
-    /// Reads a value once, then watches it whenever this node is a watcher. `tell` gets each value,
+    /// Reads a value once, then watches it whenever this node is a watcher. `apply` gets each value,
     /// or none when the first read found no value.
-    async fn follow(&self, key: &str, tell: impl Fn(Option<&edge::Value>)) {
-        let mut views = self.decisions.views();
+    async fn follow(&self, key: &str, apply: impl Fn(Option<&edge::Value>)) {
+        let mut views = self.handle.views();
         let mut seen = None;
         let mut pause = PAUSE;
         loop {
@@ -108,7 +109,7 @@
                 Ok(value) => {
                     pause = PAUSE;
                     if value.is_some() || seen.is_none() {
-                        tell(value.as_ref());
+                        apply(value.as_ref());
                     }
                     seen = value.map(|v| v.revision).or(seen).or(Some(0));
                 }
@@ -126,7 +127,7 @@
             let epoch = before.as_ref().map_or(epoch::Epoch(0), |table| table.epoch);
             // The proposal was made for the epoch before it; another may have come in between.
             if epoch.next() != next.epoch {
-                before.into_iter().for_each(|table| self.tell_table(sync::Arc::new(table)));
+                before.into_iter().for_each(|table| self.apply_table(sync::Arc::new(table)));
                 continue;
             }
             let Ok(bytes) = serde_json::to_vec(&*next) else { continue };
@@ -135,29 +136,29 @@
             {
                 let seats = next.listed.len();
                 log::info!(region = self.region.as_str(), epoch = next.epoch.0, seats; "table-written");
-                self.tell_table(next);
+                self.apply_table(next);
             }
         }
     }
 
-    async fn grant(&self, mut wishes: mpsc::Receiver<Wish>) {
-        while let Some(wish) = wishes.recv().await {
-            let view = self.decisions.view();
+    async fn apply_writes(&self, mut writes: mpsc::Receiver<Write>) {
+        while let Some(write) = writes.recv().await {
+            let view = self.handle.view();
             let facts = check::facts::Facts {
-                wall: self.decisions.clock().wall(),
+                wall: self.handle.clock().wall(),
                 in_use: view.in_use.clone(),
             };
-            let (outcome, snapshot) = accept::apply(&*self.store, &wish.change, &facts).await;
+            let (outcome, snapshot) = accept::apply(&*self.store, &write.change, &facts).await;
             if let Some(snapshot) = snapshot {
-                let _ = self.decisions.tell(event::Event::Configure { snapshot });
+                let _ = self.handle.tell(event::Event::Configure { snapshot });
             }
-            log_outcome(&wish.change, &outcome);
-            let _ = wish.reply.send(outcome);
+            log_outcome(&write.change, &outcome);
+            let _ = write.reply.send(outcome);
         }
     }
 
-    fn tell_table(&self, table: sync::Arc<table::Table>) {
-        let _ = self.decisions.tell(event::Event::Adopt { table, is_stored: true });
+    fn apply_table(&self, table: sync::Arc<table::Table>) {
+        let _ = self.handle.tell(event::Event::Adopt { table, is_stored: true });
     }
 
     async fn rest(&self, pause: &mut Duration, key: &str) {
--- a/crates/node/src/owner/store/mod.rs
+++ b/crates/node/src/owner/store/mod.rs
@@ -1,4 +1,4 @@
-//! What keeps a node up with the store and with the list of VMs.
+//! Follows the store and the list of VMs.
 
-pub mod keep;
+pub mod follower;
 pub mod vmlist;
--- a/crates/node/src/owner/store/vmlist.rs
+++ b/crates/node/src/owner/store/vmlist.rs
@@ -1,4 +1,6 @@
-//! The platform's VM list, asked for now and then.
+//! Reads the platform's VM list once a second.
+//!
+//! Owns the last list. Relies on plain HTTP; an unreadable list leaves the last one in force.
 
 use std::net;
 use std::time::Duration;
@@ -11,19 +13,19 @@
 use steer::ownership::event;
 use steer::ownership::vms;
 
-use crate::owner::decisions;
+use crate::owner::handle;
 
-/// Time between two reads.
+/// Time between two reads. Not measured.
 const EVERY: Duration = Duration::from_secs(1);
 
-/// Time for an answer.
+/// Time for an answer. Not measured.
 const CALL_TIME: Duration = Duration::from_secs(2);
 
 /// Largest list, in bytes.
 const LARGEST: usize = 4 << 20;
 
-/// Reads the list at `address` for ever and tells the decisions of it.
-pub async fn run(address: net::SocketAddr, decisions: decisions::Handle) {
+/// Reads the list at `address` for ever and hands each new one to the decisions.
+pub async fn run(address: net::SocketAddr, handle: handle::Handle) {
     let http: legacy::Client<HttpConnector, Empty<Bytes>> =
         legacy::Client::builder(rt::TokioExecutor::new()).build_http();
     let mut last = vms::List::default();
@@ -32,9 +34,9 @@
         match list {
             Some(list) if list != last => {
                 last = list.clone();
-                let _ = decisions.tell(event::Event::Vms { list });
+                let _ = handle.tell(event::Event::Vms { list });
             }
-            // A list that cannot be read says nothing; the last one stands.
+            // The same list, or one that cannot be read: the last one stays in force.
             _ => {}
         }
         tokio::time::sleep(EVERY).await;
--- a/crates/node/src/owner/view.rs
+++ b/crates/node/src/owner/view.rs
@@ -1,4 +1,6 @@
-//! The view: what the decisions publish for the other duties to read.
+//! The view: what the decisions publish for other threads to read.
+//!
+//! Owns a node's state at one moment, as one immutable value that is swapped. Relies on `model` only.
 
 use std::collections;
 use std::net;
@@ -56,9 +58,9 @@
 pub struct Node {
     /// Which incarnation of which node.
     pub key: member::Key,
-    /// Its face for callers.
+    /// Where it listens for callers.
     pub callers: net::SocketAddr,
-    /// Its face for peers.
+    /// Where it listens for peers.
     pub peers: net::SocketAddr,
     /// Whether it may be given work.
     pub is_alive: bool,
