--- a/platform/src/duration.rs
+++ b/crates/model/src/duration.rs
@@ -1,13 +1,16 @@
-//! Durations as the platform writes them: a number followed by `ms` or `s`.
+//! Durations as text: a number followed by `ms` or `s`.
+//!
+//! The form of gateways' settings and of the platform's documents; the declarations' own documents
+//! have `humantime`'s. Owns the bound on what is accepted.
 
 use std::time::Duration;
 
 use serde::{Deserialize as _, Deserializer, Serializer, de};
 
-/// Milliseconds in a second.
+/// Milliseconds in a second; a unit.
 const MILLIS: f64 = 1_000.0;
 
-/// Longest duration that is taken, in seconds; a day.
+/// Longest duration that is accepted, in seconds: a day. Not measured; it keeps sums of durations small.
 const LONGEST_SECONDS: f64 = 86_400.0;
 
 /// Reads a duration such as `1500ms` or `2.5s`.
--- a/crates/node/src/gateway/dialect.rs
+++ b/crates/node/src/gateway/dialect.rs
@@ -1,31 +1,28 @@
-//! Dialects: the headers that callers and upstreams of a deployment use.
+//! Dialects: whose headers the callers and upstreams of a deployment use.
+//!
+//! Owns nothing but the choice: the platform's headers are read and written in `platform`, yokespoke's
+//! in [`own_headers`]. What an answer proves is decided in [`steer::dispatch::execution`].
 
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime};
 
-use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
+use http::{HeaderMap, HeaderName, StatusCode};
+use model::head;
 use model::id;
-use model::load;
 use model::routing;
-use platform::headers;
+use platform::field;
+use steer::dispatch::execution;
 
-use crate::common::head;
-use crate::gateway::proxy::answer;
+use crate::gateway::own_headers;
 
-/// Statuses that promise callers that the request has not run; an upstream's are passed on as such
-/// only with its word for it.
-const PROMISES: [StatusCode; 3] =
-    [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS, StatusCode::SERVICE_UNAVAILABLE];
+/// Upstreams of the platform name the request and seal a success.
+const PLATFORM_REQUIREMENTS: execution::Requirements =
+    execution::Requirements { request_id: true, seal: true };
 
-/// Header that names a request in yokespoke's own dialect.
-const OWN_REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+/// Upstreams in general need not know of either.
+const OWN_REQUIREMENTS: execution::Requirements =
+    execution::Requirements { request_id: false, seal: false };
 
-/// Header by which an upstream tells its load in yokespoke's own dialect.
-const OWN_LOAD: HeaderName = HeaderName::from_static("yokespoke-load");
-
-/// Cookie that is the same on requests about one object, in yokespoke's own dialect.
-const OWN_AFFINITY_COOKIE: &str = "yokespoke-object";
-
-/// The headers that callers and upstreams of a deployment use.
+/// Whose headers the callers and upstreams of a deployment use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dialect {
     /// Those of the users' platform.
@@ -34,152 +31,78 @@
     Own,
 }
 
-/// What an upstream execution of a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Execution {
-    /// It ran it, or may have.
-    Ran,
-    /// It did not run it.
-    NotRun,
-    /// It did not run it, since it is not the upstream that was meant.
-    Replaced,
-    /// It refuses it, and does not prove that it did not run it.
-    Unproved,
-}
-
 impl Dialect {
-    /// Returns the header that names a request.
-    #[must_use]
-    pub fn request_id(self) -> HeaderName {
+    /// Reads the head of a caller's request.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the request's id stands more than once or is no text.
+    pub fn request(self, headers: &HeaderMap) -> Result<head::Request<'_>, field::Ambiguous> {
         match self {
-            Self::Platform => headers::REQUEST_ID,
-            Self::Own => OWN_REQUEST_ID,
+            Self::Platform => platform::request::read(headers),
+            Self::Own => own_headers::request(headers),
         }
     }
 
-    /// Returns the cookie that is the same on requests about one object.
+    /// Returns whether `name` is the header of the request's id, which every hop passes on.
     #[must_use]
-    pub fn affinity_cookie(self) -> &'static str {
+    pub fn is_request_id(self, name: &HeaderName) -> bool {
         match self {
-            Self::Platform => headers::AFFINITY_COOKIE,
-            Self::Own => OWN_AFFINITY_COOKIE,
+            Self::Platform => platform::request::is_id(name),
+            Self::Own => own_headers::is_id(name),
         }
     }
 
-    /// Returns the headers by which a caller could pass itself off as this system or an upstream.
-    #[must_use]
-    pub fn reserved(self) -> &'static [HeaderName] {
-        static OWN: [HeaderName; 3] = [head::VERDICT, head::REASON, OWN_LOAD];
+    /// Removes what a caller could pass itself off with as this system or as an upstream.
+    pub fn strip(self, headers: &mut HeaderMap) {
         match self {
-            Self::Platform => &headers::OURS,
-            Self::Own => &OWN,
+            Self::Platform => platform::request::strip(headers),
+            Self::Own => own_headers::strip(headers),
         }
     }
 
-    /// Reads the time that a caller will wait.
-    #[must_use]
-    pub fn deadline(self, headers: &HeaderMap) -> Option<Duration> {
-        let name = match self {
-            Self::Platform => headers::DEADLINE,
-            Self::Own => head::TIMEOUT,
-        };
-        let millis = headers.get(name)?.to_str().ok()?.trim().parse().ok()?;
-        Some(Duration::from_millis(millis))
-    }
-
-    /// Tells an upstream which one is meant, and how much time is left.
+    /// Tells an upstream which one is meant, if the headers can, and how much time is left.
     pub fn address(self, headers: &mut HeaderMap, upstream: &id::Upstream, left: Duration) {
-        let left_millis = millis(left).max(1);
         match self {
             Self::Platform => {
-                if let Ok(target) = HeaderValue::from_str(upstream.as_str()) {
-                    headers.insert(headers::TARGET, target);
+                if let Err(error) = platform::request::address(headers, upstream, left) {
+                    // The request goes without its target: another upstream at that address would run it.
+                    let (upstream, error) = (upstream.as_str(), error.to_string());
+                    log::warn!(upstream, error = error.as_str(); "upstream-not-named");
                 }
-                headers.insert(headers::DEADLINE, HeaderValue::from(left_millis));
-            }
-            Self::Own => {
-                let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                headers.insert(head::DEADLINE, HeaderValue::from(millis(now) + left_millis));
-                headers.remove(head::TIMEOUT);
             }
+            Self::Own => own_headers::address(headers, left, SystemTime::now()),
         }
     }
 
-    /// Returns what is wrong with an answer that should be the one to `request_id`.
+    /// Reads the head of an answer from an upstream of a service with `rules`.
     #[must_use]
-    pub fn fault(
+    pub fn answer<'a>(
         self,
-        headers: &HeaderMap,
-        status: StatusCode,
-        request_id: &str,
-    ) -> Option<&'static str> {
-        let named = text(headers, &self.request_id());
-        let is_own = match self {
-            Self::Platform => named.unwrap_or_default() == request_id,
-            // Upstreams need not give the name back here.
-            Self::Own => named.is_none_or(|named| named == request_id),
-        };
-        let is_sealed = match self {
-            Self::Platform => headers.contains_key(headers::SEAL),
-            Self::Own => true,
-        };
-        match () {
-            () if !is_own => Some("answer to another request"),
-            () if status.is_success() && !is_sealed => Some("success without a seal"),
-            () => None,
-        }
-    }
-
-    /// Returns what an upstream execution of a request, by its answer.
-    #[must_use]
-    pub fn execution(
-        self,
-        headers: &HeaderMap,
+        headers: &'a HeaderMap,
         status: StatusCode,
         rules: Option<&routing::ServiceRules>,
-    ) -> Execution {
-        let is_not_run = match self {
-            Self::Platform => headers.contains_key(headers::NOT_EXECUTED),
-            Self::Own => rules.is_some_and(|rules| rules.shed.contains(&status.as_u16())),
-        };
-        match status {
-            StatusCode::MISDIRECTED_REQUEST => Execution::Replaced,
-            status if status.is_success() => Execution::Ran,
-            _ if is_not_run => Execution::NotRun,
-            status if PROMISES.contains(&status) => Execution::Unproved,
-            _ => Execution::Ran,
+    ) -> head::Answer<'a> {
+        match self {
+            Self::Platform => platform::answer::read(headers, status),
+            Self::Own => own_headers::answer(headers, status, rules),
         }
     }
 
-    /// Returns the load that an answer tells.
+    /// Returns what a genuine answer of an upstream has to show.
     #[must_use]
-    pub fn load(self, headers: &HeaderMap) -> Option<load::Report> {
-        let name = match self {
-            Self::Platform => headers::LOAD,
-            Self::Own => OWN_LOAD,
-        };
-        text(headers, &name)?.parse().ok()
+    pub fn requirements(self) -> execution::Requirements {
+        match self {
+            Self::Platform => PLATFORM_REQUIREMENTS,
+            Self::Own => OWN_REQUIREMENTS,
+        }
     }
 
-    /// Adds to an answer of the gateway's own what its callers expect there.
-    pub fn explain(self, headers: &mut HeaderMap, reason: answer::Reason) {
-        if self == Self::Own {
-            let verdict = match reason.is_proved_not_run() {
-                true => "not-run",
-                false => "may-have-run",
-            };
-            headers.insert(head::VERDICT, HeaderValue::from_static(verdict));
-            headers.insert(head::REASON, HeaderValue::from_static(reason.as_str()));
+    /// Explains an answer of the gateway's own, if the headers can.
+    pub fn explain(self, headers: &mut HeaderMap, is_proved_not_run: bool, reason: &'static str) {
+        match self {
+            Self::Platform => {}
+            Self::Own => own_headers::explain(headers, is_proved_not_run, reason),
         }
     }
 }
-
-fn millis(duration: Duration) -> u64 {
-    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
-}
-
-/// Returns a header's value as text.
-#[must_use]
-pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
-    headers.get(name)?.to_str().ok()
-}
--- a/crates/node/src/gateway/mod.rs
+++ b/crates/node/src/gateway/mod.rs
@@ -15,6 +15,7 @@
 pub mod member;
 pub mod members;
 pub mod metrics;
+pub mod own_headers;
 pub mod peer;
 pub mod process;
 pub mod proxy;
--- a/crates/node/src/gateway/proxy/answer.rs
+++ b/crates/node/src/gateway/proxy/answer.rs
@@ -99,7 +99,7 @@
     *response.status_mut() = reason.status();
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    dialect.explain(headers, reason);
+    dialect.explain(headers, reason.is_proved_not_run(), reason.as_str());
     if let Some(after) = reason.retry_after() {
         let seconds = format!("{:.2}", after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/crates/node/src/gateway/proxy/exchange.rs
+++ b/crates/node/src/gateway/proxy/exchange.rs
@@ -3,16 +3,21 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use http::{HeaderMap, Request, Response, header};
+use http::{HeaderMap, HeaderName, Request, Response, header};
 use http_body_util::BodyExt as _;
 use hyper::body::Incoming;
 use model::load;
 use model::routing;
+use platform::field;
+use steer::dispatch::execution;
 
 use crate::common::body;
 use crate::gateway::dialect;
 use crate::gateway::proxy::connection;
 
+/// Header by which an upstream says how long it keeps a resting connection.
+const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+
 /// Largest answer that is read whole before it is passed on, in bytes.
 const LARGEST_KEPT: usize = 512 * 1_024;
 
@@ -47,9 +52,9 @@
     pub head: Response<()>,
     /// The body.
     pub bytes: Payload,
-    /// What the upstream execution of the request.
-    pub execution: dialect::Execution,
-    /// Load it told.
+    /// Whether the upstream ran the request.
+    pub execution: execution::Execution,
+    /// Load that the upstream reports.
     pub load: Option<load::Report>,
 }
 
@@ -74,30 +79,31 @@
         }
     })?;
     let (parts, incoming) = response.into_parts();
-    let fault = dialect.fault(&parts.headers, parts.status, request_id);
-    let execution = dialect.execution(&parts.headers, parts.status, rules);
+    let said = dialect.answer(&parts.headers, parts.status, rules);
+    let (load, execution) = (said.load, execution::execution(&said));
+    let fault = execution::fault(&said, dialect.requirements(), request_id);
+    let is_encoded = parts.headers.contains_key(header::CONTENT_ENCODING);
     match (fault, execution) {
-        (Some(fault), _) => return Err(Failure::Broken(fault.to_owned())),
-        (None, dialect::Execution::Unproved) => {
-            return Err(Failure::Broken("refusal that proves nothing".to_owned()));
-        }
-        (None, _) if parts.headers.contains_key(header::CONTENT_ENCODING) => {
-            return Err(Failure::Broken("encoded answer".to_owned()));
+        (Some(fault), _) => return Err(broken(fault.as_str())),
+        (None, execution::Execution::Unproved) => {
+            return Err(broken("refusal that proves nothing"));
         }
+        (None, _) if is_encoded => return Err(broken("encoded answer")),
         (None, _) => {}
     }
     connection.rest = rest(&parts.headers);
     let bytes = read(incoming).await?;
-    let load = dialect.load(&parts.headers);
     Ok(Answer { head: Response::from_parts(parts, ()), bytes, execution, load })
 }
 
+fn broken(cause: &str) -> Failure {
+    Failure::Broken(cause.to_owned())
+}
+
 /// Returns how long a connection may rest after this answer.
 fn rest(headers: &HeaderMap) -> Duration {
-    let Some(told) = dialect::text(headers, &header::HeaderName::from_static("keep-alive")) else {
-        return USUAL_REST;
-    };
-    let seconds = told.split(',').find_map(|part| {
+    let Some(parameters) = field::text(headers, &KEEP_ALIVE) else { return USUAL_REST };
+    let seconds = parameters.split(',').find_map(|part| {
         let (name, value) = part.trim().split_once('=')?;
         (name.trim() == "timeout").then(|| value.trim().parse::<u64>().ok())?
     });
--- a/crates/node/src/gateway/proxy/head.rs
+++ b/crates/node/src/gateway/proxy/head.rs
@@ -75,9 +75,10 @@
     ) -> Result<Self, Fault> {
         let host = host(&parts)?;
         check_length(&parts.headers)?;
-        let request_id = single(&parts.headers, &dialect.request_id())?;
-        let deadline = dialect.deadline(&parts.headers);
-        let object = object(&parts.headers, dialect.affinity_cookie());
+        let said = dialect.request(&parts.headers).map_err(|_| Fault::RequestId)?;
+        let request_id = said.id.to_owned();
+        let deadline = said.wait;
+        let object = said.object.map(|object| xxh3::xxh3_64(object.as_bytes()));
         Ok(Self { host, request_id, deadline, arrived, object, dialect, parts })
     }
 
@@ -146,25 +147,6 @@
     }
 }
 
-/// Returns the one value of a header; empty when there is none.
-fn single(headers: &HeaderMap, name: &HeaderName) -> Result<String, Fault> {
-    let mut values = headers.get_all(name).iter();
-    let Some(first) = values.next() else { return Ok(String::new()) };
-    match values.next() {
-        Some(_) => Err(Fault::RequestId),
-        None => Ok(first.to_str().map_err(|_| Fault::RequestId)?.to_owned()),
-    }
-}
-
-fn object(headers: &HeaderMap, cookie_name: &str) -> Option<u64> {
-    let cookies = headers.get_all(header::COOKIE).iter().filter_map(|value| value.to_str().ok());
-    let mut pairs = cookies.flat_map(|cookie| cookie.split(';'));
-    pairs.find_map(|pair| {
-        let (name, value) = pair.trim().split_once('=')?;
-        (name == cookie_name).then(|| xxh3::xxh3_64(value.as_bytes()))
-    })
-}
-
 /// Removes what concerns one connection only, and what only this system may say.
 pub fn clean(headers: &mut HeaderMap, dialect: dialect::Dialect) {
     let named: Vec<HeaderName> = headers
@@ -173,11 +155,12 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
-        .filter(|name| !PROTECTED.contains(name) && *name != dialect.request_id())
+        .filter(|name| !PROTECTED.contains(name) && !dialect.is_request_id(name))
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP).chain(dialect.reserved()) {
+    for name in named.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
+    dialect.strip(headers);
 }
 
 /// Headers that no connection option may remove.
--- a/crates/node/src/gateway/proxy/tries.rs
+++ b/crates/node/src/gateway/proxy/tries.rs
@@ -11,11 +11,11 @@
 use model::route;
 use model::routing;
 use steer::dispatch::ask;
+use steer::dispatch::execution;
 use steer::dispatch::outcome;
 use steer::dispatch::refusal;
 
 use crate::common::body;
-use crate::gateway::dialect;
 use crate::gateway::proxy::answer;
 use crate::gateway::proxy::attempt;
 use crate::gateway::proxy::connection;
@@ -231,13 +231,13 @@
         let upstream = attempt.upstream.id.clone();
         let status = answer.head.status();
         let is_final =
-            answer.execution == dialect::Execution::Ran || status == StatusCode::BAD_REQUEST;
+            answer.execution == execution::Execution::Ran || status == StatusCode::BAD_REQUEST;
         if is_final {
             self.note(&upstream, status.as_str());
             return Ok(Some(self.pass_on(attempt, connection, answer)));
         }
         let (ended, end) = match answer.execution {
-            dialect::Execution::Replaced => (outcome::Outcome::Replaced, "replaced"),
+            execution::Execution::Replaced => (outcome::Outcome::Replaced, "replaced"),
             _ => (outcome::Outcome::TurnedAway { load: answer.load }, "turned-away"),
         };
         attempt.end(ended);
--- a/crates/node/src/gateway/settings.rs
+++ b/crates/node/src/gateway/settings.rs
@@ -8,8 +8,8 @@
 
 use model::bounds;
 use model::document;
+use model::duration;
 use model::id;
-use platform::duration;
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::dialect;
--- a/crates/node/tests/forms/headers.rs
+++ b/crates/node/tests/forms/headers.rs
@@ -12,10 +12,12 @@
 use model::verdict;
 use node::common::body;
 use node::common::head as node_head;
-use node::gateway::dialect::{self, Dialect, Execution};
+use node::gateway::dialect::Dialect;
 use node::gateway::proxy::answer::{self, Reason};
 use node::gateway::proxy::{head, relay};
 use node::owner::callers::respond;
+use platform::field;
+use steer::dispatch::execution::{self, Execution};
 
 use crate::fixture;
 
@@ -240,8 +242,9 @@
         for headers in [&[][..], &[("yokespoke-not-executed", "1")]] {
             for status in [200, 400, 404, 408, 421, 429, 500, 502, 503] {
                 let status = StatusCode::from_u16(status).expect("a status");
-                let execution = dialect.execution(&map(headers), status, Some(&rules));
-                let word = match execution {
+                let headers_map = map(headers);
+                let answer = dialect.answer(&headers_map, status, Some(&rules));
+                let word = match execution::execution(&answer) {
                     Execution::Ran => "ran",
                     Execution::NotRun => "not run",
                     Execution::Replaced => "replaced",
@@ -256,7 +259,11 @@
 
 #[test]
 fn faults_of_an_upstream_s_answer() {
-    let of = |dialect: Dialect, headers: &[_], status| dialect.fault(&map(headers), status, "id");
+    let of = |dialect: Dialect, headers: &[_], status| {
+        let headers = map(headers);
+        let answer = dialect.answer(&headers, status, None);
+        execution::fault(&answer, dialect.requirements(), "id").map(execution::Fault::as_str)
+    };
     let (platform, own) = (Dialect::Platform, Dialect::Own);
     let (ok, bad) = (StatusCode::OK, StatusCode::BAD_GATEWAY);
     let (named, seal) = (("yokespoke-request-id", "id"), ("yokespoke-response-seal", "s"));
@@ -274,8 +281,9 @@
     for (dialect, name) in
         [(Dialect::Platform, "yokespoke-server-load"), (Dialect::Own, "yokespoke-load")]
     {
-        assert_eq!(dialect.load(&map(&[(name, "3,1,8")])), Some(load));
-        assert_eq!(dialect.load(&map(&[])), None);
-        assert_eq!(dialect::text(&map(&[(name, "3")]), &HeaderName::from_static(name)), Some("3"));
+        let of = |headers: &HeaderMap| dialect.answer(headers, StatusCode::OK, None).load;
+        assert_eq!(of(&map(&[(name, "3,1,8")])), Some(load));
+        assert_eq!(of(&map(&[])), None);
+        assert_eq!(field::text(&map(&[(name, "3")]), &HeaderName::from_static(name)), Some("3"));
     }
 }
--- a/crates/steer/src/dispatch/mod.rs
+++ b/crates/steer/src/dispatch/mod.rs
@@ -7,6 +7,7 @@
 pub mod ask;
 pub mod cold;
 pub mod dispatcher;
+pub mod execution;
 pub mod health;
 pub mod lapse;
 pub mod load;
