--- a/crates/node/src/gateway/extracts.rs
+++ b/crates/node/src/gateway/extracts.rs
@@ -5,6 +5,7 @@
 use std::io::{self, Read as _, Write as _};
 
 use bytes::Bytes;
+use wire::gateway::extract;
 
 use crate::gateway::replica;
 
@@ -59,7 +60,7 @@
 /// # Errors
 ///
 /// Fails when it cannot be encoded, which would be a bug.
-pub fn encode(extract: &replica::Extract) -> io::Result<Vec<u8>> {
+pub fn encode(extract: &extract::Extract) -> io::Result<Vec<u8>> {
     let text = serde_json::to_vec(extract)?;
     if text.len() < SMALLEST_COMPRESSED {
         return Ok(text);
@@ -74,7 +75,7 @@
 /// # Errors
 ///
 /// Fails when `bytes` are not an extract, or one that is too large.
-pub fn decode(bytes: &[u8]) -> io::Result<replica::Extract> {
+pub fn decode(bytes: &[u8]) -> io::Result<extract::Extract> {
     if !bytes.starts_with(&COMPRESSED) {
         return Ok(serde_json::from_slice(bytes)?);
     }
--- a/crates/node/src/gateway/heartbeat.rs
+++ b/crates/node/src/gateway/heartbeat.rs
@@ -77,7 +77,7 @@
             continue;
         };
         let datagram = &buffer[..length];
-        if datagram.first() == Some(&loads::MARK) {
+        if datagram.first() == Some(&wire::gateway::loads::MARK) {
             loads::receive(&state, &datagram[1..]);
             continue;
         }
--- a/crates/node/src/gateway/loads.rs
+++ b/crates/node/src/gateway/loads.rs
@@ -8,6 +8,7 @@
 use prost::Message as _;
 use steer::dispatch::peers;
 use tokio::net::UdpSocket;
+use wire::gateway::loads as message;
 
 use crate::gateway::member;
 use crate::gateway::members;
@@ -23,23 +24,6 @@
 /// Names of nodes do not begin so; what does stands for the sum of several nodes.
 const SUM: &str = "+";
 
-/// First byte of a datagram of loads.
-pub const MARK: u8 = 1;
-
-/// What a node has in flight.
-#[derive(Clone, PartialEq, prost::Message)]
-pub struct Loads {
-    /// The node.
-    #[prost(string, tag = "1")]
-    pub node: String,
-    /// Short names of upstreams.
-    #[prost(fixed32, repeated, tag = "2")]
-    pub upstreams: Vec<u32>,
-    /// Requests in flight at each.
-    #[prost(uint32, repeated, tag = "3")]
-    pub requests: Vec<u32>,
-}
-
 /// Tells other nodes until the task ends.
 pub async fn send(state: rc::Rc<state::State>, socket: rc::Rc<UdpSocket>) {
     let mut had_any = false;
@@ -119,19 +103,19 @@
 }
 
 fn encode(node: &id::Node, in_flight: &[(peers::Key, u32)]) -> Vec<u8> {
-    let loads = Loads {
+    let loads = message::Loads {
         node: node.as_str().to_owned(),
         upstreams: in_flight.iter().map(|(key, _)| key.0).collect(),
         requests: in_flight.iter().map(|(_, requests)| *requests).collect(),
     };
-    let mut datagram = vec![MARK];
+    let mut datagram = vec![message::MARK];
     datagram.extend(loads.encode_to_vec());
     datagram
 }
 
 /// Takes what another node tells; a datagram that cannot be read is passed over.
 pub fn receive(state: &state::State, datagram: &[u8]) {
-    let Ok(loads) = Loads::decode(datagram) else { return };
+    let Ok(loads) = message::Loads::decode(datagram) else { return };
     let upstreams = loads.upstreams.into_iter().map(peers::Key);
     let requests = upstreams.zip(loads.requests).collect();
     let node = id::Node::new(&loads.node);
--- a/crates/node/src/gateway/peer.rs
+++ b/crates/node/src/gateway/peer.rs
@@ -9,9 +9,9 @@
 use hyper::client::conn::http1;
 use hyper_util::rt;
 use tokio::net::TcpStream;
+use wire::gateway::extract;
 
 use crate::gateway::extracts;
-use crate::gateway::replica;
 
 /// Path at which a node tells its copy; the query is the revision to start after.
 pub const CHANGES: &str = "/peer/changes";
@@ -27,11 +27,11 @@
 /// # Errors
 ///
 /// Fails when the node does not answer in time or its answer cannot be read.
-pub async fn fetch(peer: net::SocketAddr, after: u64) -> anyhow::Result<replica::Extract> {
+pub async fn fetch(peer: net::SocketAddr, after: u64) -> anyhow::Result<extract::Extract> {
     tokio::time::timeout(EXCHANGE_TIME, exchange(peer, after)).await?
 }
 
-async fn exchange(peer: net::SocketAddr, after: u64) -> anyhow::Result<replica::Extract> {
+async fn exchange(peer: net::SocketAddr, after: u64) -> anyhow::Result<extract::Extract> {
     let stream = TcpStream::connect(peer).await?;
     stream.set_nodelay(true)?;
     let (mut sender, connection) = http1::handshake(rt::TokioIo::new(stream)).await?;
--- a/crates/node/src/gateway/registration.rs
+++ b/crates/node/src/gateway/registration.rs
@@ -46,10 +46,11 @@
 
 /// Renews the lease until it is over or the entry was taken away.
 async fn keep(state: &state::State, client: &client::Client, lease: u64) {
-    let key = fact::node_key(&state.me.borrow().node);
+    let me = state.me.borrow().node.clone();
+    let key = fact::node_key(&me);
     loop {
         tokio::time::sleep(RENEWAL).await;
-        let is_listed = state.replica.borrow().nodes().any(|(listed, _)| listed == key);
+        let is_listed = state.replica.borrow().nodes().any(|listed| listed.name == me);
         if !is_listed && state.is_store_reached() {
             log::info!(key = key.as_str(); "registration-lost");
             return;
--- a/crates/node/src/gateway/replica.rs
+++ b/crates/node/src/gateway/replica.rs
@@ -1,6 +1,8 @@
 //! This node's copy of what the store holds, from the store itself or from other nodes.
 //!
-//! Every item carries the store's revision, so that copies merge in any order and nothing goes back.
+//! Owns the typed facts by their keys and merges them by the store's revisions, so that copies merge in
+//! any order and nothing older replaces what is newer. Relies on [`fact`] to decode an item. An item's
+//! bytes stay beside its fact for extracts only: other nodes get them as the store gave them.
 
 use std::collections;
 use std::sync;
@@ -10,37 +12,43 @@
 use model::routing;
 use platform::fact;
 use platform::store::item;
-use serde::{Deserialize, Serialize};
+use wire::gateway::extract;
 
-/// Most removed keys that are remembered.
-const MOST_REMOVED: usize = 4_096;
+use crate::gateway::member;
 
-/// What one node tells another of its copy.
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Extract {
-    /// Items; all of them, or those after a revision with removed ones among them.
-    pub page: item::Page,
-    /// Whether these are all items, so that any other is gone.
-    pub is_whole: bool,
-}
+/// Removed keys that are remembered; a node that is further behind gets a whole copy.
+///
+/// Not measured; it bounds memory while a fleet's entries come and go.
+const MOST_REMOVED: usize = 4_096;
 
 /// One key's state.
 #[derive(Clone, Debug)]
 struct Entry {
+    /// As the store gave it; only extracts read its bytes.
     item: item::Item,
     fact: Known,
 }
 
-/// What an item tells, as kept.
+/// A fact in force.
 #[derive(Clone, Debug)]
 enum Known {
     Evacuated(id::Hall),
     Upstream(sync::Arc<discovery::Entry>),
-    Node,
+    Node(Node),
+    /// The configuration, which is kept apart, or nothing that a gateway uses.
     Nothing,
 }
 
-/// An item that could not be understood.
+/// A node of this system that registered in the store.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Node {
+    /// Its name, by its key.
+    pub name: id::Node,
+    /// What it wrote about itself; none when that cannot be read.
+    pub member: Option<member::Member>,
+}
+
+/// An item that could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Its key.
@@ -51,18 +59,25 @@
     pub message: String,
 }
 
+impl Fault {
+    fn new(item: &item::Item, message: String) -> Self {
+        Self { key: item.key.clone(), revision: item.revision, message }
+    }
+}
+
 /// What a merge changed.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
-    /// Whether upstreams came, went or changed.
+    /// Whether upstreams were added, removed or changed.
     pub upstreams: bool,
-    /// Whether evacuations came or went.
+    /// Whether evacuations began or ended.
     pub evacuations: bool,
-    /// Whether other nodes' entries came or went.
+    /// Whether entries of nodes were added, removed or changed.
     pub nodes: bool,
-    /// Whether a newer configuration came.
+    /// Whether there is a newer configuration.
     pub routing: bool,
-    /// Items that could not be understood; what they replace stays in force.
+    /// Items that could not be read. A configuration, an evacuation or an upstream that such an item
+    /// replaces stays in force; a node stays registered without what it wrote.
     pub faults: Vec<Fault>,
 }
 
@@ -84,7 +99,7 @@
         self.at
     }
 
-    /// Returns whether a whole copy was ever had.
+    /// Returns whether a whole copy was ever merged.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.is_complete
@@ -112,17 +127,17 @@
         })
     }
 
-    /// Returns the values that nodes of this system wrote about themselves, by their keys.
-    pub fn nodes(&self) -> impl Iterator<Item = (&str, &[u8])> {
+    /// Returns the nodes of this system that are registered in the store.
+    pub fn nodes(&self) -> impl Iterator<Item = &Node> {
         self.entries.values().filter_map(|entry| match &entry.fact {
-            Known::Node => Some((entry.item.key.as_str(), entry.item.value.as_slice())),
+            Known::Node(node) => Some(node),
             _ => None,
         })
     }
 
     /// Returns what has changed after `after`; everything when that is no longer known.
     #[must_use]
-    pub fn extract(&self, after: u64) -> Extract {
+    pub fn extract(&self, after: u64) -> extract::Extract {
         let is_whole = after < self.floor || after == 0;
         let items = self.entries.values().map(|e| &e.item);
         let mut items: Vec<item::Item> =
@@ -139,11 +154,11 @@
                 });
             items.extend(removed);
         }
-        Extract { page: item::Page { items, more: false, at: self.at }, is_whole }
+        extract::Extract { page: item::Page { items, more: false, at: self.at }, is_whole }
     }
 
-    /// Merges what another node told.
-    pub fn merge_extract(&mut self, extract: Extract) -> Changes {
+    /// Merges what another node sent.
+    pub fn merge_extract(&mut self, extract: extract::Extract) -> Changes {
         match extract.is_whole {
             true => self.replace(extract.page),
             false => self.merge(extract.page),
@@ -160,7 +175,7 @@
         changes
     }
 
-    /// Merges a whole copy: whatever it lacks, and is not newer, is gone.
+    /// Merges a whole copy: whatever it lacks, and is not newer, was removed.
     pub fn replace(&mut self, page: item::Page) -> Changes {
         let mut changes = Changes::default();
         let present: collections::BTreeSet<&str> =
@@ -172,7 +187,7 @@
         for key in gone {
             self.remove(&key, page.at, &mut changes);
         }
-        // What was removed before is not told by a whole copy.
+        // A whole copy does not list what was removed before it.
         self.floor = self.floor.max(page.at);
         let at = page.at;
         for item in page.items {
@@ -197,20 +212,17 @@
             return;
         }
         let known = match fact::read(&item.key, &item.value) {
-            Ok(fact) => self.learn(fact, changes),
-            Err(message) => {
-                let (key, revision) = (item.key.clone(), item.revision);
-                changes.faults.push(Fault { key, revision, message });
-                match self.entries.get(&item.key) {
-                    Some(before) => before.fact.clone(),
-                    None => Known::Nothing,
-                }
+            Ok(fact) => self.adopt(fact, &item, changes),
+            Err(error) => {
+                changes.faults.push(Fault::new(&item, error.to_string()));
+                // The last good fact of the key stays in force.
+                self.entries.get(&item.key).map_or(Known::Nothing, |before| before.fact.clone())
             }
         };
         self.entries.insert(item.key.clone(), Entry { item, fact: known });
     }
 
-    fn learn(&mut self, fact: fact::Fact, changes: &mut Changes) -> Known {
+    fn adopt(&mut self, fact: fact::Fact, item: &item::Item, changes: &mut Changes) -> Known {
         match fact {
             fact::Fact::Routing(routing) => {
                 let is_newer = self.routing.as_ref().is_none_or(|r| r.version < routing.version);
@@ -228,10 +240,7 @@
                 changes.upstreams = true;
                 Known::Upstream(sync::Arc::new(upstream))
             }
-            fact::Fact::Node(_) => {
-                changes.nodes = true;
-                Known::Node
-            }
+            fact::Fact::Node(name) => register(name, item, changes),
             fact::Fact::Other => Known::Nothing,
         }
     }
@@ -241,7 +250,7 @@
             match entry.fact {
                 Known::Evacuated(_) => changes.evacuations = true,
                 Known::Upstream(_) => changes.upstreams = true,
-                Known::Node => changes.nodes = true,
+                Known::Node(_) => changes.nodes = true,
                 Known::Nothing => {}
             }
         }
@@ -253,3 +262,16 @@
         }
     }
 }
+
+/// Decodes what a node wrote about itself.
+fn register(name: id::Node, item: &item::Item, changes: &mut Changes) -> Known {
+    changes.nodes = true;
+    let member = match serde_json::from_slice(&item.value) {
+        Ok(member) => Some(member),
+        Err(error) => {
+            changes.faults.push(Fault::new(item, error.to_string()));
+            None
+        }
+    };
+    Known::Node(Node { name, member })
+}
--- a/crates/node/src/gateway/state.rs
+++ b/crates/node/src/gateway/state.rs
@@ -240,9 +240,9 @@
 
     /// Takes the addresses of the nodes that the store lists.
     fn list_nodes(&self, replica: &replica::Replica) {
-        let listed = replica.nodes().filter_map(|(_, value)| {
-            let member: member::Member = serde_json::from_slice(value).ok()?;
-            let member::Member { node, region, callers, peers, .. } = member;
+        // What cannot be read was logged as a malformed item when it was merged.
+        let listed = replica.nodes().filter_map(|listed| {
+            let member::Member { node, region, callers, peers, .. } = listed.member.clone()?;
             Some((node, members::Listed { region, callers, peers }))
         });
         let own = self.settings.borrow().node.clone();
--- a/crates/node/tests/forms/datagrams.rs
+++ b/crates/node/tests/forms/datagrams.rs
@@ -5,12 +5,12 @@
 
 use model::id;
 use node::gateway::datagram;
-use node::gateway::loads;
 use node::gateway::member;
 use prost::Message as _;
 use standin::platform::upstream;
 use steer::dispatch::peers;
 use tokio::net::UdpSocket;
+use wire::gateway::{heartbeat, loads};
 
 use crate::fixture;
 use crate::rig;
@@ -56,7 +56,7 @@
         fixture::assert_is(name, &datagram::write(&member));
         assert_eq!(datagram::read(&fixture::read(name)), Some(member), "{name}");
     }
-    assert_eq!((datagram::MARK, loads::MARK), (2, 1));
+    assert_eq!((heartbeat::MARK, loads::MARK), (2, 1));
 }
 
 /// The loads that nodes send in the tests below, with their fixtures.
@@ -158,7 +158,7 @@
     rig::until("a heartbeat comes", async || {
         sequence += 1;
         peer.heartbeat("n-7", "north", sequence).await;
-        let Some(datagram) = peer.next(datagram::MARK).await else { return false };
+        let Some(datagram) = peer.next(heartbeat::MARK).await else { return false };
         let read = datagram::read(&datagram).expect("a heartbeat");
         assert_eq!((read.node.as_str(), read.hall.as_str()), ("n-1", "north-1"));
         assert_eq!((read.callers, read.peers), (gateway.callers, gateway.peers));
--- a/crates/node/tests/forms/extracts.rs
+++ b/crates/node/tests/forms/extracts.rs
@@ -5,11 +5,11 @@
 
 use node::gateway::extracts;
 use node::gateway::peer;
-use node::gateway::replica;
 use platform::store::item;
 use standin::platform::door;
 use tokio::io::{AsyncBufReadExt as _, AsyncWriteExt as _, BufReader};
 use tokio::net::{TcpListener, TcpStream};
+use wire::gateway::extract;
 
 use crate::client;
 use crate::fixture;
@@ -29,24 +29,24 @@
 }
 
 /// An extract of changes, with one of each kind of item.
-fn changes() -> replica::Extract {
+fn changes() -> extract::Extract {
     let items = vec![
         item("op/config", 3, Some(r#"{"version":7}"#)),
         item("op/evacuate/north-1", 4, Some("")),
         item("servers/i-1", 5, Some("{}")),
         item("servers/i-0", 6, None),
     ];
-    replica::Extract { page: item::Page { items, more: false, at: 6 }, is_whole: false }
+    extract::Extract { page: item::Page { items, more: false, at: 6 }, is_whole: false }
 }
 
 /// A whole copy that is long enough to be compressed.
-fn whole() -> replica::Extract {
+fn whole() -> extract::Extract {
     let entry = |n: u64| item(&format!("servers/i-{n:03}"), n, Some(&"entry ".repeat(9)));
     let items = (1..=200).map(entry).collect();
-    replica::Extract { page: item::Page { items, more: true, at: 200 }, is_whole: true }
+    extract::Extract { page: item::Page { items, more: true, at: 200 }, is_whole: true }
 }
 
-fn same(a: &replica::Extract, b: &replica::Extract) -> bool {
+fn same(a: &extract::Extract, b: &extract::Extract) -> bool {
     (&a.page, a.is_whole) == (&b.page, b.is_whole)
 }
 
@@ -75,7 +75,7 @@
     let of_key = |length: usize| {
         let items = vec![item(&"k".repeat(length), 1, Some(""))];
         let page = item::Page { items, more: false, at: 1 };
-        let extract = replica::Extract { page, is_whole: true };
+        let extract = extract::Extract { page, is_whole: true };
         let length = serde_json::to_vec(&extract).expect("it can be written").len();
         (length, extracts::encode(&extract).expect("it is encoded"))
     };
--- a/crates/node/tests/heartbeats.rs
+++ b/crates/node/tests/heartbeats.rs
@@ -5,6 +5,7 @@
 use model::id;
 use node::gateway::{datagram, member, members};
 use quickcheck::quickcheck;
+use wire::gateway::heartbeat;
 
 fn member(node: &str, incarnation: u64, sequence: u64) -> member::Member {
     member::Member {
@@ -122,9 +123,9 @@
 
 quickcheck! {
     fn whatever_arrives_is_read_or_passed_over(bytes: Vec<u8>) -> bool {
-        let mut marked = vec![datagram::MARK];
+        let mut marked = vec![heartbeat::MARK];
         marked.extend(&bytes);
         let again = datagram::read(&marked).map(|m| datagram::read(&datagram::write(&m)) == Some(m));
-        again != Some(false) && (bytes.first() == Some(&datagram::MARK) || datagram::read(&bytes).is_none())
+        again != Some(false) && (bytes.first() == Some(&heartbeat::MARK) || datagram::read(&bytes).is_none())
     }
 }
--- a/crates/node/tests/replica.rs
+++ b/crates/node/tests/replica.rs
@@ -71,6 +71,17 @@
     assert_eq!(names(&replica), ["a"]);
 }
 
+#[test]
+fn a_node_s_malformed_entry_is_a_fault_and_keeps_the_node_registered() {
+    let mut replica = replica::Replica::default();
+    let changes = replica.replace(page(vec![item("nodes/n-1", 1, Some("nonsense"))], 1));
+    assert!(changes.nodes);
+    let faults: Vec<_> = changes.faults.iter().map(|f| (f.key.as_str(), f.revision)).collect();
+    assert_eq!(faults, [("nodes/n-1", 1)]);
+    let nodes: Vec<_> = replica.nodes().map(|n| (n.name.as_str(), n.member.is_some())).collect();
+    assert_eq!(nodes, [("n-1", false)]);
+}
+
 #[test]
 fn what_another_node_lacks_is_told_with_what_went() {
     let mut ahead = replica::Replica::default();
--- /dev/null
+++ b/crates/wire/src/gateway/loads.rs
@@ -0,0 +1,18 @@
+//! Loads: the requests that a gateway, or several, have in flight, as a datagram.
+
+/// First byte of a datagram that holds loads.
+pub const MARK: u8 = 1;
+
+/// Requests in flight at upstreams; the two lists have the same length and order.
+#[derive(Clone, PartialEq, prost::Message)]
+pub struct Loads {
+    /// The sender, or a name for the sum of several.
+    #[prost(string, tag = "1")]
+    pub node: String,
+    /// Hashes of the upstreams' names.
+    #[prost(fixed32, repeated, tag = "2")]
+    pub upstreams: Vec<u32>,
+    /// Requests in flight at each upstream.
+    #[prost(uint32, repeated, tag = "3")]
+    pub requests: Vec<u32>,
+}
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,11 @@
-//! Messages between nodes, generated from `proto/peer.proto`.
+//! Messages between processes of the fleet.
+//!
+//! Owns their forms: those of owners are generated from `proto/peer.proto`, those of gateways are written
+//! by hand. Sends and decides nothing.
 
-/// Messages and service of the peers' face.
+pub mod gateway;
+
+/// Messages and service between nodes that own upstreams.
 #[allow(
     missing_docs,
     missing_debug_implementations,
