--- a/crates/node/src/common/log_writer.rs
+++ b/crates/node/src/common/log_writer.rs
@@ -1,4 +1,7 @@
-//! The writer of log lines: bounded in volume, and never in the way of whoever logs.
+//! The writer of log lines: bounded in volume, and never blocking the thread that logs.
+//!
+//! Owns the thread that writes and the count of lines waiting for it. Lines that do not fit are dropped
+//! and counted, and the count is a metric.
 
 use std::io;
 use std::sync;
@@ -7,19 +10,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// LogWriter that wait for the output; a line more is dropped and counted.
+/// Lines that may wait for the output; one more is dropped and counted. Not measured.
 const WAITING: usize = 1_024;
 
-/// LogWriter a second, in the long run; what is more is dropped and counted.
+/// Lines a second in the long run; more are dropped and counted. Not measured.
 const RATE: f64 = 200.0;
 
-/// LogWriter that may come at once.
+/// Lines that may be logged at once. Not measured.
 const BURST: f64 = 600.0;
 
-/// Longest time that a flush waits for the output.
+/// Longest time that a flush waits for the output. Not measured.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Time between two looks of a flush.
+/// Period at which a flush checks whether the output has caught up. Not measured.
 const FLUSH_LOOK: Duration = Duration::from_millis(2);
 
 /// Collects lines and hands them to a thread of its own.
@@ -78,7 +81,7 @@
 
 fn write(mut output: impl io::Write, receiver: &mpsc::Receiver<Vec<u8>>, waiting: &AtomicU64) {
     while let Ok(line) = receiver.recv() {
-        // Nobody can be told that the log itself fails.
+        // A failure of the log cannot be logged.
         let _ = output.write_all(&line);
         let _ = output.flush();
         waiting.fetch_sub(1, Ordering::AcqRel);
--- a/crates/node/src/common/logging.rs
+++ b/crates/node/src/common/logging.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Quotes a value that a reader could not tell from the next pair.
+/// Quotes a value that a parser could take for the next pair.
 fn quoted(value: &str) -> String {
     let plain = |c: char| !c.is_whitespace() && !c.is_control() && c != '"' && c != '=';
     match !value.is_empty() && value.chars().all(plain) {
@@ -89,6 +89,7 @@
                         out.push(c);
                     }
                     c if c.is_control() => {
+                        // Writing to a string cannot fail.
                         let _ = write!(out, "\\u{{{:x}}}", u32::from(c));
                     }
                     c => out.push(c),
--- a/crates/node/src/gateway/control.rs
+++ b/crates/node/src/gateway/control.rs
@@ -1,4 +1,6 @@
 //! What a gateway answers to other nodes and to operators: changes, metrics, a state dump.
+//!
+//! Owns the paths of the last two and the dump's form; relies on [`state`] for all that is shown.
 
 use std::time::Instant;
 
@@ -34,7 +36,10 @@
         false => status(StatusCode::SERVICE_UNAVAILABLE),
         true => match state.extracts.borrow_mut().get(&replica, after) {
             Ok(bytes) => with_type("application/octet-stream", bytes),
-            Err(_) => status(StatusCode::INTERNAL_SERVER_ERROR),
+            Err(error) => {
+                log_not_written("changes", &error);
+                status(StatusCode::INTERNAL_SERVER_ERROR)
+            }
         },
     }
 }
@@ -82,7 +87,16 @@
         "splits": splits,
         "upstreams": upstreams,
     });
-    serde_json::to_vec_pretty(&dump).unwrap_or_default()
+    serde_json::to_vec_pretty(&dump).unwrap_or_else(|error| {
+        log_not_written("dump", &error);
+        Vec::new()
+    })
+}
+
+/// Logs an answer that could not be encoded, which would be a bug: all of it is this node's own.
+fn log_not_written(answer: &str, error: &dyn std::error::Error) {
+    let error = error.to_string();
+    log::error!(answer, error = error.as_str(); "answer-not-written");
 }
 
 fn status(status: StatusCode) -> Response<Full<Bytes>> {
--- a/crates/node/src/gateway/control_server.rs
+++ b/crates/node/src/gateway/control_server.rs
@@ -1,4 +1,6 @@
 //! Servers of short answers: readiness, look-ups, and what nodes and operators ask.
+//!
+//! Owns the connections of these addresses; [`control`] and [`directory`] make the answers.
 
 use std::convert;
 use std::rc;
@@ -18,19 +20,25 @@
 use crate::gateway::directory;
 use crate::gateway::state;
 
-/// Pause after a failure to accept, such as too many open files.
+/// Pause after a failure to accept, such as too many open files. Not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Longest time a connection may rest or take to send a head.
+/// Longest time a connection may rest or take to send a head. Not measured.
 const HEAD_TIME: Duration = Duration::from_secs(30);
 
 /// Serves short answers until the task ends.
 pub async fn serve(state: rc::Rc<state::State>, listener: TcpListener) {
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
-            continue;
+        let (stream, _) = match listener.accept().await {
+            Ok(accepted) => accepted,
+            Err(error) => {
+                let error = error.to_string();
+                log::debug!(error = error.as_str(); "accept-failed");
+                tokio::time::sleep(ACCEPT_PAUSE).await;
+                continue;
+            }
         };
+        // Without it answers may be delayed; a connection that has ended fails when it is read.
         let _ = stream.set_nodelay(true);
         let state = rc::Rc::clone(&state);
         tokio::task::spawn_local(async move {
@@ -40,7 +48,7 @@
             });
             let mut builder = http1::Builder::new();
             builder.timer(rt::TokioTimer::new()).header_read_timeout(HEAD_TIME);
-            // A caller that goes away or talks nonsense ends its own connection only.
+            // A client that leaves or sends no HTTP ends its own connection only.
             let _ = builder.serve_connection(rt::TokioIo::new(stream), service).await;
         });
     }
--- a/crates/node/src/gateway/metrics.rs
+++ b/crates/node/src/gateway/metrics.rs
@@ -1,13 +1,15 @@
 //! Figures of a gateway, as text in the Prometheus format.
+//!
+//! Owns all counters; the gateway's tasks add to them.
 
 use std::cell;
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// Largest latency that the histogram tells apart, in microseconds.
+/// Largest latency that the histogram distinguishes, in microseconds: a minute. Not measured.
 const LONGEST_MICROS: u64 = 60_000_000;
 
-/// Significant digits of the histogram.
+/// Significant digits of the histogram; more of them take more memory. Not measured.
 const DIGITS: u8 = 2;
 
 /// Quantiles that are shown.
@@ -112,6 +114,7 @@
         ];
         let mut text = String::new();
         for (name, counter) in counters {
+            // Writing to a string cannot fail, here and below.
             let _ = writeln!(text, "# TYPE yokespoke_{name}_total counter");
             let _ = writeln!(text, "yokespoke_{name}_total {}", counter.get());
         }
--- a/crates/node/src/gateway/proxy/connection.rs
+++ b/crates/node/src/gateway/proxy/connection.rs
@@ -1,4 +1,6 @@
 //! One connection to an upstream.
+//!
+//! Owns the socket and the task that drives it.
 
 use std::net;
 use std::time::{Duration, Instant};
@@ -10,10 +12,10 @@
 
 use crate::common::body;
 
-/// Longest time a connection may take to come up.
+/// Longest time a connection may take to come up. Not measured.
 const CONNECT_TIME: Duration = Duration::from_millis(350);
 
-/// Time after which bytes that the upstream does not acknowledge break the connection.
+/// Time after which bytes that the upstream does not acknowledge break the connection. Not measured.
 const UNACKNOWLEDGED_TIME: Duration = Duration::from_secs(2);
 
 /// A connection to an upstream; dropping it closes it at once.
@@ -45,7 +47,7 @@
         let (sender, connection) =
             http1::handshake(rt::TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
         let driver = task::spawn_local(async move {
-            // How it ends shows in the exchange that uses it.
+            // The exchange that uses the connection gets the same error.
             let _ = connection.await;
         });
         Ok(Self { sender, used: Instant::now(), rest: Duration::ZERO, driver })
--- a/crates/node/src/gateway/proxy/head.rs
+++ b/crates/node/src/gateway/proxy/head.rs
@@ -1,4 +1,6 @@
 //! Heads of requests: what the gateway reads of them, and what it passes on.
+//!
+//! Owns the rules of a clear head and of hops; relies on [`dialect`] for the headers of the deployment.
 
 use std::time::{Duration, Instant};
 
@@ -56,7 +58,7 @@
     pub deadline: Option<Duration>,
     /// When it arrived.
     pub arrived: Instant,
-    /// Hash of the object it is about; none when it tells of none.
+    /// Hash of the object that it is about; none when it names none.
     pub object: Option<u64>,
     dialect: dialect::Dialect,
     parts: request::Parts,
@@ -98,6 +100,7 @@
     #[must_use]
     pub fn length(&self) -> Option<u64> {
         let value = self.parts.headers.get(header::CONTENT_LENGTH)?;
+        // The HTTP library refuses a length that is no number before a head gets here.
         value.to_str().ok()?.parse().ok()
     }
 
@@ -110,6 +113,7 @@
         let sent = request.headers_mut();
         *sent = self.parts.headers.clone();
         clean(sent, self.dialect);
+        // It was read from a header or a target, so it can stand in a header again.
         if let Ok(host) = HeaderValue::from_str(&self.host) {
             sent.insert(header::HOST, host);
         }
--- a/crates/node/src/gateway/proxy/server.rs
+++ b/crates/node/src/gateway/proxy/server.rs
@@ -1,4 +1,6 @@
 //! The server of callers' connections.
+//!
+//! Owns them and the counts of what is open; what is answered is up to [`handler`].
 
 use std::cell;
 use std::convert;
@@ -16,16 +18,16 @@
 use crate::gateway::proxy::pool;
 use crate::gateway::state;
 
-/// Pause after a failure to accept, such as too many open files.
+/// Pause after a failure to accept, such as too many open files. Not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Most callers' connections at once.
+/// Most callers' connections at once, so that descriptors are left for upstreams. Not measured.
 const MOST_CONNECTIONS: usize = 2_000;
 
 /// Smallest buffer that the HTTP library takes, in bytes.
 const SMALLEST_BUFFER: usize = 8_192;
 
-/// Time after which bytes that a caller does not acknowledge end its connection.
+/// Time after which bytes that a caller does not acknowledge end its connection. Not measured.
 const UNACKNOWLEDGED_TIME: Duration = Duration::from_secs(5);
 
 /// What callers have open.
@@ -111,9 +113,14 @@
             accepted = listener.accept() => accepted,
             _ = close.wait_for(|close| *close) => return,
         };
-        let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
-            continue;
+        let (stream, _) = match accepted {
+            Ok(accepted) => accepted,
+            Err(error) => {
+                let error = error.to_string();
+                log::debug!(error = error.as_str(); "accept-failed");
+                tokio::time::sleep(ACCEPT_PAUSE).await;
+                continue;
+            }
         };
         if server.open.connections() >= MOST_CONNECTIONS {
             log::warn!(connections = server.open.connections(); "connection-refused");
@@ -129,6 +136,7 @@
 }
 
 async fn connection(server: Server, stream: TcpStream) {
+    // Both fail on a connection that has ended already, which shows when it is read.
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIME));
     let limits = server.state.routing().map_or_else(routing::CallerLimits::default, |r| r.limits);
@@ -146,9 +154,11 @@
     let connection = builder.serve_connection(rt::TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        // A caller that goes away or talks nonsense ends its own connection only.
+        // A caller that leaves or sends no HTTP ends its own connection only; the requests that this
+        // cuts off are logged by their traces.
         _ = connection.as_mut() => return,
         _ = close.wait_for(|close| *close) => connection.as_mut().graceful_shutdown(),
     }
+    // As above.
     let _ = connection.await;
 }
--- a/crates/node/src/gateway/thread.rs
+++ b/crates/node/src/gateway/thread.rs
@@ -43,6 +43,7 @@
             let tasks = task::LocalSet::new();
             let is_done = tasks.block_on(&runtime, run(settings, started, ends));
             drop(tasks);
+            // Fails when the handle was dropped, so that nobody waits for the outcome.
             let _ = done.send(is_done);
         })?;
         let listen = starts.await.map_err(io::Error::other)??;
@@ -51,12 +52,14 @@
 
     /// Stops as planned; returns whether every request had ended.
     pub async fn stop(self) -> bool {
+        // Fails when the thread has ended; `ended` then says how, or nothing after a panic.
         let _ = self.end.send(End::Stop);
         self.ended.await.unwrap_or(false)
     }
 
     /// Ends at once, as if the process had been killed.
     pub async fn kill(self) {
+        // Both fail when the thread has ended already, which is what is wanted.
         let _ = self.end.send(End::Kill);
         let _ = self.ended.await;
     }
@@ -70,11 +73,13 @@
     let gateway = match process::Gateway::start(settings).await {
         Ok(gateway) => gateway,
         Err(error) => {
+            // Fails when `start` was dropped, so that nobody waits for the gateway.
             let _ = started.send(Err(error));
             return false;
         }
     };
     let listen = gateway.state.settings.borrow().listen.clone();
+    // As above; `ends` is closed then, and the gateway ends below.
     let _ = started.send(Ok(listen));
     match ends.recv().await {
         Some(End::Stop) => gateway.stop().await,
