--- a/crates/node/src/gateway/proxy/answer.rs
+++ b/crates/node/src/gateway/proxy/answer.rs
@@ -1,12 +1,17 @@
-//! Answers that the gateway gives itself.
+//! Answers that the gateway gives itself, in place of an upstream's.
+//!
+//! Owns the status of each [`Reason`]; relies on [`steer::dispatch::give_up`] for the reasons of requests
+//! that no upstream answered, and on [`dialect`] for the headers that explain them.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
+use steer::dispatch::give_up;
 
 use crate::common::body;
 use crate::gateway::dialect;
+use crate::gateway::proxy::head;
 
 /// Why the gateway answers a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,23 +21,15 @@
     /// No route matches.
     NoRoute,
     /// The head does not say clearly what it asks.
-    BadHead(&'static str),
+    BadHead(head::Fault),
     /// The body is larger than callers may send.
     TooLarge,
     /// The body did not arrive whole.
     BodyCut,
     /// The body did not arrive in time.
     BodyLate,
-    /// No upstream could take it, which proves that it has not run.
-    NotRun(&'static str, Duration),
-    /// An upstream turned it away without running it.
-    TurnedAway(Duration),
-    /// It was sent, and what became of it is not known.
-    Unknown(&'static str),
-    /// It was sent, and its time was up.
-    TimedOut,
-    /// Its time was up before it was sent.
-    NotSent,
+    /// No upstream answered it.
+    GivenUp(give_up::Reason),
 }
 
 impl Reason {
@@ -42,15 +39,14 @@
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
-            Self::NoConfiguration | Self::NotRun(..) | Self::TurnedAway(_) | Self::NotSent => {
-                StatusCode::SERVICE_UNAVAILABLE
-            }
+            Self::NoConfiguration => StatusCode::SERVICE_UNAVAILABLE,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::BadHead(_) | Self::BodyCut => StatusCode::BAD_REQUEST,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyLate => StatusCode::REQUEST_TIMEOUT,
-            Self::Unknown(_) => StatusCode::BAD_GATEWAY,
-            Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+            Self::GivenUp(give_up::Reason::MayHaveRun) => StatusCode::BAD_GATEWAY,
+            Self::GivenUp(give_up::Reason::TimedOut) => StatusCode::GATEWAY_TIMEOUT,
+            Self::GivenUp(_) => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 
@@ -60,37 +56,34 @@
         match self {
             Self::NoConfiguration => "no-configuration",
             Self::NoRoute => "no-route",
-            Self::BadHead(fault) => fault,
+            Self::BadHead(fault) => fault.as_str(),
             Self::TooLarge => "body-too-large",
             Self::BodyCut => "body-cut",
             Self::BodyLate => "body-late",
-            Self::NotRun(cause, _) | Self::Unknown(cause) => cause,
-            Self::TurnedAway(_) => "turned-away",
-            Self::TimedOut => "timed-out",
-            Self::NotSent => "not-sent-in-time",
+            Self::GivenUp(reason) => reason.as_str(),
         }
     }
 
-    /// Returns whether it is proved that the request has not run.
+    /// Returns whether the request certainly has not run.
     #[must_use]
     pub fn is_proved_not_run(self) -> bool {
-        !matches!(self, Self::Unknown(_) | Self::TimedOut)
+        match self {
+            Self::GivenUp(reason) => reason.is_proved_not_run(),
+            _ => true,
+        }
     }
 
-    /// Returns when the caller should come back, if it may.
+    /// Returns the time after which the caller may retry; none when a retry would not help.
     #[must_use]
     pub fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::NotRun(_, after) | Self::TurnedAway(after) => Some(after),
-            Self::NoConfiguration | Self::NotSent => Some(COME_BACK),
+            Self::GivenUp(reason) => reason.retry_after(),
+            Self::NoConfiguration => Some(give_up::RETRY_AFTER_DEFAULT),
             _ => None,
         }
     }
 }
 
-/// Time after which a caller should come back when nothing better is known.
-const COME_BACK: Duration = Duration::from_millis(200);
-
 /// Makes the answer.
 #[must_use]
 pub fn make(reason: Reason, dialect: dialect::Dialect) -> Response<body::Body> {
@@ -102,9 +95,8 @@
     dialect.explain(headers, reason.is_proved_not_run(), reason.as_str());
     if let Some(after) = reason.retry_after() {
         let seconds = format!("{:.2}", after.as_secs_f64());
-        if let Ok(value) = HeaderValue::from_str(&seconds) {
-            headers.insert(header::RETRY_AFTER, value);
-        }
+        let value = HeaderValue::from_str(&seconds).expect("digits and a point are visible ASCII");
+        headers.insert(header::RETRY_AFTER, value);
     }
     response
 }
--- a/crates/node/src/gateway/proxy/handler.rs
+++ b/crates/node/src/gateway/proxy/handler.rs
@@ -1,9 +1,13 @@
-//! One request: from its head to an upstream's answer, or to the gateway's own.
+//! One request: from its head to an upstream's answer, or to one of the gateway's own.
+//!
+//! Owns the order of the steps: head, route, deadline, body, service, tries. Relies on [`tries`] for the
+//! upstreams, on [`answer`] for what the gateway answers itself, and on [`trace`] for the log line.
 
-use std::time::Duration;
+use std::time::Instant;
 
 use http::{HeaderValue, Request, Response, header, request};
 use hyper::body::Incoming;
+use steer::dispatch::give_up;
 
 use crate::common::body;
 use crate::gateway::proxy::answer;
@@ -46,37 +50,45 @@
     trace: &mut trace::Trace,
 ) -> Result<Response<body::Body>, answer::Reason> {
     let head = head::Head::read(parts, trace.arrived(), server.state.dialect)
-        .map_err(|fault| answer::Reason::BadHead(fault.as_str()))?;
+        .map_err(answer::Reason::BadHead)?;
     trace.set_request(&head.request_id);
     let routing = server.state.routing().ok_or(answer::Reason::NoConfiguration)?;
     trace.set_version(routing.version);
     let found = routing.find(&head.host, head.path());
     let route = found.cloned().ok_or(answer::Reason::NoRoute)?;
     trace.set_route(route.name.as_str());
-    let time = head.deadline.unwrap_or(route.timeout).min(route.timeout);
-    let deadline = head.arrived + time;
-    let most = routing.limits.body_bytes;
-    if head.length().is_some_and(|length| length > most) {
-        return Err(answer::Reason::TooLarge);
-    }
-    let read = request_body::Body::read(incoming, most, server.open.requests());
-    let read = tokio::time::timeout_at(deadline.into(), read).await;
-    let body = match read {
-        Ok(Ok(body)) => body,
-        Ok(Err(request_body::Fault::TooLarge)) => return Err(answer::Reason::TooLarge),
-        Ok(Err(request_body::Fault::Cut)) => return Err(answer::Reason::BodyCut),
-        Err(_) => return Err(answer::Reason::BodyLate),
-    };
+    let timeout = head.deadline.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = head.arrived + timeout;
+    let body = read_body(server, &head, incoming, routing.limits.body_bytes, deadline).await?;
     let service = server.state.dispatcher.borrow_mut().pick_service(&route);
-    let service = service.ok_or(NO_SERVICE)?;
+    let service = service.ok_or(answer::Reason::GivenUp(give_up::Reason::NoService))?;
     trace.set_service(&service);
-    let rules = routing.services.get(&service).cloned();
-    let mut tries = tries::Tries::new(server, &head, &route, service, rules, body, deadline);
+    let rules = routing.services.get(&service);
+    let request =
+        tries::Request { head: &head, body, route: &route, service: &service, rules, deadline };
+    let mut tries = tries::Tries::new(server, request);
     let outcome = tokio::time::timeout_at(deadline.into(), tries.run()).await;
-    let outcome = outcome.unwrap_or_else(|_| Err(tries.expired()));
-    trace.set_tries(tries.tried(), tries.inputs());
-    outcome
+    let outcome = outcome.unwrap_or_else(|_| Err(tries.expire()));
+    trace.set_tries(tries.ended(), tries.refusal());
+    outcome.map_err(answer::Reason::GivenUp)
 }
 
-/// A route whose parts all have no weight.
-const NO_SERVICE: answer::Reason = answer::Reason::NotRun("no-service", Duration::from_millis(200));
+/// Reads a body of at most `largest` bytes until `deadline`.
+async fn read_body(
+    server: &server::Server,
+    head: &head::Head,
+    incoming: Incoming,
+    largest: u64,
+    deadline: Instant,
+) -> Result<request_body::Body, answer::Reason> {
+    if head.length().is_some_and(|length| length > largest) {
+        return Err(answer::Reason::TooLarge);
+    }
+    let read = request_body::Body::read(incoming, largest, server.open.requests());
+    match tokio::time::timeout_at(deadline.into(), read).await {
+        Ok(Ok(body)) => Ok(body),
+        Ok(Err(request_body::Fault::TooLarge)) => Err(answer::Reason::TooLarge),
+        Ok(Err(request_body::Fault::Cut)) => Err(answer::Reason::BodyCut),
+        Err(_) => Err(answer::Reason::BodyLate),
+    }
+}
--- a/crates/node/src/gateway/proxy/trace.rs
+++ b/crates/node/src/gateway/proxy/trace.rs
@@ -1,10 +1,16 @@
-//! What is logged and counted of one request.
+//! Trace of one request: what is logged and counted when it ends.
+//!
+//! Owns the text of the lines `request-failed`, `request-retried` and `request-abandoned`, whose keys
+//! docs/OPERATIONS.md lists. Relies on the handler to record each step as it is known.
 
+use std::fmt::Write as _;
 use std::rc;
 use std::time::Instant;
 
 use http::StatusCode;
 use model::id;
+use steer::dispatch::refusal;
+use steer::dispatch::retry;
 
 use crate::gateway::proxy::answer;
 use crate::gateway::state;
@@ -12,7 +18,7 @@
 /// Shown in the log for a request whose caller left; never sent.
 const CLIENT_CLOSED: u16 = 499;
 
-/// What is known of a request, for the line that explains its end.
+/// What is known of a request, for the log line at its end.
 #[derive(Debug)]
 pub struct Trace {
     state: rc::Rc<state::State>,
@@ -21,13 +27,13 @@
     route: String,
     service: Option<id::Service>,
     version: u64,
-    tried: String,
-    inputs: String,
+    tries: Vec<retry::Try>,
+    refusal: Option<refusal::Refusal>,
     is_ended: bool,
 }
 
 impl Trace {
-    /// Starts with a request's arrival.
+    /// Starts when a request arrives.
     #[must_use]
     pub fn new(state: &rc::Rc<state::State>) -> Self {
         Self {
@@ -37,8 +43,8 @@
             route: String::new(),
             service: None,
             version: 0,
-            tried: String::new(),
-            inputs: String::new(),
+            tries: Vec::new(),
+            refusal: None,
             is_ended: false,
         }
     }
@@ -49,33 +55,33 @@
         self.arrived
     }
 
-    /// Notes the request's name.
+    /// Records the request's id.
     pub fn set_request(&mut self, request: &str) {
         request.clone_into(&mut self.request);
     }
 
-    /// Notes the version of the configuration that decides.
+    /// Records the version of the configuration in force.
     pub fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
-    /// Notes the route.
+    /// Records the route.
     pub fn set_route(&mut self, route: &str) {
         route.clone_into(&mut self.route);
     }
 
-    /// Notes the service.
+    /// Records the service.
     pub fn set_service(&mut self, service: &id::Service) {
         self.service = Some(service.clone());
     }
 
-    /// Notes the tries, as `upstream:end` separated by commas, and what decided a refusal.
-    pub fn set_tries(&mut self, tried: &str, inputs: &str) {
-        tried.clone_into(&mut self.tried);
-        inputs.clone_into(&mut self.inputs);
+    /// Records the tries that ended, and the dispatcher's refusal if there was one.
+    pub fn set_tries(&mut self, tries: &[retry::Try], refusal: Option<&refusal::Refusal>) {
+        tries.clone_into(&mut self.tries);
+        self.refusal = refusal.cloned();
     }
 
-    /// Notes that an upstream's answer is passed on.
+    /// Records that an upstream's answer is passed on.
     pub fn answered(&mut self, status: StatusCode) {
         self.is_ended = true;
         let metrics = &self.state.metrics;
@@ -83,14 +89,14 @@
         metrics.latency.record(self.arrived.elapsed());
         match status.is_server_error() {
             true => self.log("upstream-error", status.as_u16(), "request-failed"),
-            false if self.tried.contains(',') => {
+            false if self.tries.len() > 1 => {
                 self.log("retried", status.as_u16(), "request-retried")
             }
             false => {}
         }
     }
 
-    /// Notes that the gateway answers itself.
+    /// Records an answer of the gateway's own.
     pub fn refused(&mut self, reason: answer::Reason) {
         self.is_ended = true;
         let metrics = &self.state.metrics;
@@ -104,6 +110,8 @@
     }
 
     fn log(&self, reason: &str, status: u16, event: &str) {
+        let tries = tries_text(&self.tries);
+        let inputs = self.refusal.as_ref().map(ToString::to_string).unwrap_or_default();
         let waited = self.arrived.elapsed().as_millis();
         let waited = u64::try_from(waited).unwrap_or(u64::MAX);
         log::info!(
@@ -114,8 +122,8 @@
             service = self.service.as_ref().map_or("", id::Service::as_str),
             config = self.version,
             revision = self.state.replica.borrow().at(),
-            tries = self.tried.as_str(),
-            inputs = self.inputs.as_str(),
+            tries = tries.as_str(),
+            inputs = inputs.as_str(),
             waited_ms = waited;
             "{event}"
         );
@@ -130,3 +138,13 @@
         }
     }
 }
+
+/// Returns tries as `upstream:end`, separated by commas.
+fn tries_text(tries: &[retry::Try]) -> String {
+    let mut text = String::new();
+    for retry::Try { upstream, end } in tries {
+        let separator = if text.is_empty() { "" } else { "," };
+        write!(text, "{separator}{upstream}:{end}").expect("writing to a string cannot fail");
+    }
+    text
+}
--- /dev/null
+++ b/crates/steer/src/dispatch/give_up.rs
@@ -0,0 +1,76 @@
+//! Giving up: why a request gets no answer of an upstream, and its `Retry-After`.
+//!
+//! Owns the reasons and the default times. Relies on nothing; [`retry`] decides when one applies, and
+//! the gateway maps each to a status.
+//!
+//! [`retry`]: crate::dispatch::retry
+
+use std::time::Duration;
+
+/// `Retry-After` when upstreams refused, were unreachable or are about to be listed.
+///
+/// Not measured; shorter than one answer, since another node or a moment later often succeeds.
+const RETRY_AFTER_REFUSALS: Duration = Duration::from_millis(60);
+
+/// `Retry-After` when nothing is known about when a retry would succeed.
+///
+/// Not measured; longer than [`RETRY_AFTER_REFUSALS`], since the cause does not pass by itself.
+pub const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(200);
+
+/// Why a request is given up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reason {
+    /// All parts of its route have weight zero.
+    NoService,
+    /// No upstream of the service may take it.
+    NoUpstream,
+    /// Every upstream would answer it too late.
+    Overloaded {
+        /// Time after which a retry may be admitted.
+        retry_after: Duration,
+    },
+    /// Connections to too many upstreams failed.
+    Unreachable,
+    /// The last upstream refused it, and no retry is allowed.
+    TurnedAway,
+    /// An upstream may have run it, and it may not be repeated.
+    MayHaveRun,
+    /// It was sent, and its deadline passed.
+    TimedOut,
+    /// Its deadline passed before it was sent.
+    NotSent,
+}
+
+impl Reason {
+    /// Returns the reason as the log key `reason` holds it.
+    #[must_use]
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::NoService => "no-service",
+            Self::NoUpstream => "no-upstream",
+            Self::Overloaded { .. } => "overloaded",
+            Self::Unreachable => "unreachable",
+            Self::TurnedAway => "turned-away",
+            Self::MayHaveRun => "broken",
+            Self::TimedOut => "timed-out",
+            Self::NotSent => "not-sent-in-time",
+        }
+    }
+
+    /// Returns whether the request certainly has not run.
+    #[must_use]
+    pub fn is_proved_not_run(self) -> bool {
+        !matches!(self, Self::MayHaveRun | Self::TimedOut)
+    }
+
+    /// Returns the time after which the caller may retry; none when that is not safe.
+    #[must_use]
+    pub fn retry_after(self) -> Option<Duration> {
+        match self {
+            Self::NoService | Self::NotSent => Some(RETRY_AFTER_DEFAULT),
+            Self::NoUpstream | Self::Unreachable | Self::TurnedAway => Some(RETRY_AFTER_REFUSALS),
+            Self::Overloaded { retry_after } => Some(retry_after),
+            Self::MayHaveRun | Self::TimedOut => None,
+        }
+    }
+}
--- a/crates/steer/src/dispatch/refusal.rs
+++ b/crates/steer/src/dispatch/refusal.rs
@@ -5,6 +5,8 @@
 
 use model::id;
 
+use crate::dispatch::give_up;
+
 /// Why a request gets no upstream; it has not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
@@ -52,12 +54,14 @@
 }
 
 impl Refusal {
-    /// Returns the reason as a word for logs.
+    /// Returns why the request is given up.
     #[must_use]
-    pub fn as_str(&self) -> &'static str {
+    pub fn reason(&self) -> give_up::Reason {
         match self {
-            Self::NoUpstream(_) => "no-upstream",
-            Self::Overloaded { .. } => "overloaded",
+            Self::NoUpstream(_) => give_up::Reason::NoUpstream,
+            Self::Overloaded { retry_after, .. } => {
+                give_up::Reason::Overloaded { retry_after: *retry_after }
+            }
         }
     }
 }
--- /dev/null
+++ b/crates/steer/src/dispatch/retry.rs
@@ -0,0 +1,294 @@
+//! Retry: whether a request is sent to another upstream after a try ended.
+//!
+//! Owns the progress of one request: upstreams chosen, how each try ended, whether it may have run.
+//! Relies on [`dispatcher`] for the upstream of each try, on `retry_budget` through the caller's
+//! `take_retry`, and on [`give_up`] for the reasons. The gateway's `proxy::tries` performs the I/O and
+//! reports how each try ended.
+
+use std::fmt;
+use std::sync;
+use std::time::Instant;
+
+use model::discovery;
+use model::id;
+use model::route;
+
+use crate::dispatch::ask;
+use crate::dispatch::dispatcher;
+use crate::dispatch::give_up;
+use crate::dispatch::refusal;
+
+/// Failed connections, in upstreams, after which a request is given up.
+///
+/// Measured: docs/incidents/diagne.md, inc-c429. Three gave requests up while other upstreams were
+/// idle, because several had crashed together; six was not compared with other limits.
+const MAX_UNREACHABLE: usize = 6;
+
+/// What came of a try before the request's deadline.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// The upstream answered with this status.
+    Answered(u16),
+    /// The upstream refused the request and has not run it.
+    TurnedAway,
+    /// Another upstream answers at its address; the request has not run.
+    Replaced,
+    /// Nothing was sent, with the cause.
+    NotSent(String),
+    /// The request was sent and may have run, with the cause.
+    Broken(String),
+}
+
+/// How a try ended.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum End {
+    /// With this outcome, before the deadline.
+    Outcome(Outcome),
+    /// The deadline passed while the connection was opened.
+    NoConnection,
+    /// The deadline passed while the answer was awaited.
+    NoAnswer,
+}
+
+impl fmt::Display for End {
+    /// Writes the end as the log key `tries` holds it.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Outcome(Outcome::Answered(status)) => write!(formatter, "{status}"),
+            Self::Outcome(Outcome::TurnedAway) => formatter.write_str("turned-away"),
+            Self::Outcome(Outcome::Replaced) => formatter.write_str("replaced"),
+            Self::Outcome(Outcome::NotSent(cause) | Outcome::Broken(cause)) => {
+                formatter.write_str(cause)
+            }
+            Self::NoConnection => formatter.write_str("no-connection"),
+            Self::NoAnswer => formatter.write_str("no-answer"),
+        }
+    }
+}
+
+/// A try that ended.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Try {
+    /// The upstream.
+    pub upstream: id::Upstream,
+    /// How it ended.
+    pub end: End,
+}
+
+/// What follows a try.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Next {
+    /// Pass the answer on.
+    Answer,
+    /// Try another upstream. The first send failed before it began, so no retry was taken.
+    TryAnother,
+    /// Try another upstream; a retry was taken from the budget.
+    Retry,
+    /// Answer the caller with this reason.
+    GiveUp(give_up::Reason),
+}
+
+/// What stays the same for all tries of a request.
+#[derive(Clone, Copy, Debug)]
+pub struct Request<'a> {
+    /// Its route.
+    pub route: &'a route::Route,
+    /// The service of the route that answers it.
+    pub service: &'a id::Service,
+    /// Hash of its object; of the request itself when it has none.
+    pub key: u64,
+    /// Time at which its caller stops waiting.
+    pub deadline: Instant,
+}
+
+/// The upstream chosen for a try.
+#[derive(Clone, Debug)]
+pub struct Choice {
+    /// The upstream.
+    pub upstream: sync::Arc<discovery::Entry>,
+    /// Whether it is the first one of the request.
+    pub is_first: bool,
+}
+
+/// What the current try waits for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Stage {
+    /// There is no try.
+    Idle,
+    /// The upstream's connection.
+    Connection,
+    /// The upstream's answer.
+    Answer,
+}
+
+/// Progress of one request over its tries.
+#[derive(Clone, Debug)]
+pub struct Progress {
+    is_repeatable: bool,
+    max_attempts: u32,
+    chosen: Vec<id::Upstream>,
+    ended: Vec<Try>,
+    stage: Stage,
+    sent: u32,
+    unreachable: usize,
+    may_have_run: bool,
+    refusal: Option<refusal::Refusal>,
+}
+
+impl Progress {
+    /// Starts a request of `route` without a try.
+    #[must_use]
+    pub fn new(route: &route::Route) -> Self {
+        Self {
+            is_repeatable: route.repetition.is_repeatable(),
+            max_attempts: route.max_attempts,
+            chosen: Vec::new(),
+            ended: Vec::new(),
+            stage: Stage::Idle,
+            sent: 0,
+            unreachable: 0,
+            may_have_run: false,
+            refusal: None,
+        }
+    }
+
+    /// Returns the upstreams chosen so far, the latest last.
+    #[must_use]
+    pub fn chosen(&self) -> &[id::Upstream] {
+        &self.chosen
+    }
+
+    /// Returns the tries that ended, in order.
+    #[must_use]
+    pub fn ended(&self) -> &[Try] {
+        &self.ended
+    }
+
+    /// Returns the dispatcher's refusal, if one ended the request.
+    #[must_use]
+    pub fn refusal(&self) -> Option<&refusal::Refusal> {
+        self.refusal.as_ref()
+    }
+
+    /// Starts a try: chooses its upstream at `now`.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the request is given up when the dispatcher refuses it.
+    pub fn choose(
+        &mut self,
+        request: Request<'_>,
+        dispatcher: &mut dispatcher::Dispatcher,
+        now: Instant,
+    ) -> Result<Choice, give_up::Reason> {
+        let ask = ask::Ask {
+            route: request.route,
+            service: request.service,
+            key: request.key,
+            tried: &self.chosen,
+            left: request.deadline.saturating_duration_since(now),
+        };
+        match dispatcher.choose(&ask, now) {
+            Ok(upstream) => {
+                let is_first = self.chosen.is_empty();
+                self.chosen.push(upstream.id.clone());
+                self.stage = Stage::Connection;
+                Ok(Choice { upstream, is_first })
+            }
+            Err(refusal) => {
+                let reason = refusal.reason();
+                self.refusal = Some(refusal);
+                Err(self.reason(reason))
+            }
+        }
+    }
+
+    /// Records that the current try opens a connection, for the first time or again.
+    pub fn connecting(&mut self) {
+        self.stage = Stage::Connection;
+    }
+
+    /// Records that the current try sends the request.
+    pub fn sending(&mut self) {
+        self.stage = Stage::Answer;
+    }
+
+    /// Ends the current try and decides what follows.
+    ///
+    /// `is_body_ready` says whether the body can be sent again. `take_retry` takes one retry from the
+    /// fleet's budget, and is called only when all else allows one.
+    pub fn end(
+        &mut self,
+        outcome: Outcome,
+        is_body_ready: bool,
+        take_retry: impl FnOnce() -> bool,
+    ) -> Next {
+        let next = match outcome {
+            Outcome::Answered(_) => Next::Answer,
+            Outcome::TurnedAway | Outcome::Replaced => {
+                self.sent += 1;
+                self.retry(is_body_ready, take_retry, give_up::Reason::TurnedAway)
+            }
+            Outcome::Broken(_) => {
+                self.sent += 1;
+                self.may_have_run = true;
+                let is_ready = self.is_repeatable && is_body_ready;
+                self.retry(is_ready, take_retry, give_up::Reason::MayHaveRun)
+            }
+            Outcome::NotSent(_) => self.after_unreachable(),
+        };
+        self.record(End::Outcome(outcome));
+        next
+    }
+
+    /// Ends the request at its deadline, with the try that was not answered.
+    pub fn expire(&mut self) -> give_up::Reason {
+        let reason = match (self.may_have_run, self.stage) {
+            (true, _) | (_, Stage::Answer) => give_up::Reason::TimedOut,
+            (false, Stage::Idle | Stage::Connection) => give_up::Reason::NotSent,
+        };
+        match self.stage {
+            Stage::Idle => {}
+            Stage::Connection => self.record(End::NoConnection),
+            Stage::Answer => self.record(End::NoAnswer),
+        }
+        reason
+    }
+
+    /// A failed connection sends nothing, so it costs neither an attempt nor a retry of the budget.
+    fn after_unreachable(&mut self) -> Next {
+        self.unreachable += 1;
+        match self.unreachable >= MAX_UNREACHABLE {
+            true => Next::GiveUp(self.reason(give_up::Reason::Unreachable)),
+            false => Next::TryAnother,
+        }
+    }
+
+    /// Takes a retry if the body, the route's attempts and the budget allow one, in this order.
+    fn retry(
+        &self,
+        is_body_ready: bool,
+        take_retry: impl FnOnce() -> bool,
+        otherwise: give_up::Reason,
+    ) -> Next {
+        match is_body_ready && self.sent < self.max_attempts && take_retry() {
+            true => Next::Retry,
+            false => Next::GiveUp(self.reason(otherwise)),
+        }
+    }
+
+    /// Returns `reason`, unless an earlier try may have run: then nothing proves the contrary.
+    fn reason(&self, reason: give_up::Reason) -> give_up::Reason {
+        match self.may_have_run {
+            true => give_up::Reason::MayHaveRun,
+            false => reason,
+        }
+    }
+
+    fn record(&mut self, end: End) {
+        self.stage = Stage::Idle;
+        if let Some(upstream) = self.chosen.last().cloned() {
+            self.ended.push(Try { upstream, end });
+        }
+    }
+}
--- /dev/null
+++ b/crates/steer/tests/retry.rs
@@ -0,0 +1,164 @@
+//! Retry: when a request is sent again, and with which reason it is given up.
+
+use std::collections;
+use std::net;
+use std::sync;
+use std::time::{Duration, Instant};
+
+use model::{bounds, discovery, id, route};
+use steer::dispatch::{dispatcher, give_up, retry};
+
+const TIMEOUT: Duration = Duration::from_secs(2);
+
+fn route(repetition: route::Kind, max_attempts: u32) -> route::Route {
+    route::Route {
+        name: id::Route::new("r"),
+        host: "site.example".to_owned(),
+        prefix: "/".to_owned(),
+        repetition,
+        timeout: TIMEOUT,
+        target_latency: Duration::from_millis(300),
+        priority: 0,
+        parts: vec![route::Part { service: id::Service::new("desk"), weight: 1 }],
+        max_attempts,
+        is_sticky: true,
+        home_regions: Vec::new(),
+    }
+}
+
+/// Returns a dispatcher that knows `upstreams` idle ones.
+fn dispatcher(upstreams: u8, now: Instant) -> dispatcher::Dispatcher {
+    let position = dispatcher::Position {
+        node: id::Node::new("n"),
+        region: id::Region::new("north"),
+        halls: collections::BTreeMap::from([(id::Hall::new("n-1"), id::Region::new("north"))]),
+    };
+    let mut dispatcher = dispatcher::Dispatcher::new(position, bounds::Bounds::default());
+    let entries = (0..upstreams).map(|index| discovery::Entry {
+        id: id::Upstream::new(&format!("i-{index}")),
+        service: id::Service::new("desk"),
+        address: net::SocketAddr::from(([127, 0, 0, 1], 80)),
+        hall: id::Hall::new("n-1"),
+        slots: 4,
+        state: discovery::State::Ready,
+        cold_left: Duration::ZERO,
+    });
+    dispatcher.set_upstreams(entries.map(sync::Arc::new), now);
+    dispatcher
+}
+
+/// Chooses the next upstream of `progress`, and records that the request is sent to it.
+fn send(
+    progress: &mut retry::Progress,
+    dispatcher: &mut dispatcher::Dispatcher,
+    route: &route::Route,
+    now: Instant,
+) -> Result<retry::Choice, give_up::Reason> {
+    let service = id::Service::new("desk");
+    let request = retry::Request { route, service: &service, key: 1, deadline: now + TIMEOUT };
+    let choice = progress.choose(request, dispatcher, now);
+    progress.sending();
+    choice
+}
+
+fn no_budget() -> bool {
+    panic!("the budget was asked")
+}
+
+#[test]
+fn a_refused_request_goes_to_another_upstream_within_attempts_body_and_budget() {
+    let now = Instant::now();
+    let route = route(route::Kind::NonIdempotent, 2);
+    let turned_away = retry::Next::GiveUp(give_up::Reason::TurnedAway);
+    let mut dispatcher = dispatcher(3, now);
+    for outcome in [retry::Outcome::TurnedAway, retry::Outcome::Replaced] {
+        let mut progress = retry::Progress::new(&route);
+        let first = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
+        assert!(first.is_first);
+        assert_eq!(progress.end(outcome.clone(), true, || true), retry::Next::Retry);
+        let second = send(&mut progress, &mut dispatcher, &route, now).expect("two are left");
+        assert!(!second.is_first && second.upstream.id != first.upstream.id);
+        assert_eq!(progress.end(outcome.clone(), true, no_budget), turned_away);
+
+        let mut progress = retry::Progress::new(&route);
+        let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
+        assert_eq!(progress.end(outcome.clone(), false, no_budget), turned_away);
+
+        let mut progress = retry::Progress::new(&route);
+        let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
+        assert_eq!(progress.end(outcome, true, || false), turned_away);
+    }
+    assert_eq!(give_up::Reason::TurnedAway.retry_after(), Some(Duration::from_millis(60)));
+}
+
+#[test]
+fn a_request_that_may_have_run_is_repeated_only_where_its_route_allows() {
+    let now = Instant::now();
+    let broken = || retry::Outcome::Broken("reset".to_owned());
+    let may_have_run = give_up::Reason::MayHaveRun;
+    for kind in [route::Kind::NonIdempotent, route::Kind::Upload] {
+        let route = route(kind, 3);
+        let mut dispatcher = dispatcher(3, now);
+        let mut progress = retry::Progress::new(&route);
+        let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
+        assert_eq!(progress.end(broken(), true, no_budget), retry::Next::GiveUp(may_have_run));
+    }
+    let route = route(route::Kind::Idempotent, 3);
+    let mut dispatcher = dispatcher(2, now);
+    let mut progress = retry::Progress::new(&route);
+    let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
+    assert_eq!(progress.end(broken(), true, || true), retry::Next::Retry);
+    let _ = send(&mut progress, &mut dispatcher, &route, now).expect("one is left");
+    assert_eq!(progress.end(retry::Outcome::Replaced, true, || true), retry::Next::Retry);
+    // No upstream is left, but the first may have run it, so nothing is promised to the caller.
+    let given_up = send(&mut progress, &mut dispatcher, &route, now).expect_err("none is left");
+    assert_eq!(given_up, may_have_run);
+    assert!(!given_up.is_proved_not_run() && given_up.retry_after().is_none());
+    assert!(progress.refusal().is_some());
+}
+
+#[test]
+fn connections_that_fail_cost_no_retry_and_the_sixth_ends_the_request() {
+    let now = Instant::now();
+    let route = route(route::Kind::NonIdempotent, 1);
+    let mut dispatcher = dispatcher(8, now);
+    let mut progress = retry::Progress::new(&route);
+    let mut next = retry::Next::TryAnother;
+    for turn in 1..=6 {
+        assert_eq!(next, retry::Next::TryAnother, "{turn}");
+        let _ = send(&mut progress, &mut dispatcher, &route, now).expect("some are left");
+        next = progress.end(retry::Outcome::NotSent("refused".to_owned()), true, no_budget);
+    }
+    assert_eq!(next, retry::Next::GiveUp(give_up::Reason::Unreachable));
+    let ends: Vec<String> = progress.ended().iter().map(|t| t.end.to_string()).collect();
+    assert_eq!(ends, ["refused"; 6]);
+}
+
+#[test]
+fn the_deadline_says_whether_the_request_was_sent() {
+    let now = Instant::now();
+    let route = route(route::Kind::Idempotent, 2);
+    let ends = |progress: &retry::Progress| -> Vec<String> {
+        progress.ended().iter().map(|t| t.end.to_string()).collect()
+    };
+    let mut progress = retry::Progress::new(&route);
+    assert_eq!(progress.expire(), give_up::Reason::NotSent);
+    assert!(progress.ended().is_empty());
+
+    let mut dispatcher = dispatcher(2, now);
+    let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
+    progress.connecting();
+    assert_eq!(progress.clone().expire(), give_up::Reason::NotSent);
+    progress.sending();
+    assert_eq!(progress.expire(), give_up::Reason::TimedOut);
+    assert_eq!(ends(&progress), ["no-answer"]);
+
+    let mut progress = retry::Progress::new(&route);
+    let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
+    let _ = progress.end(retry::Outcome::Broken("reset".to_owned()), true, || true);
+    let _ = send(&mut progress, &mut dispatcher, &route, now).expect("one is left");
+    progress.connecting();
+    // The second try was not sent, but the first may have run.
+    assert_eq!(progress.expire(), give_up::Reason::TimedOut);
+    assert_eq!(ends(&progress), ["reset", "no-connection"]);
+}
