--- a/crates/node/src/gateway/control.rs
+++ b/crates/node/src/gateway/control.rs
@@ -57,11 +57,11 @@
                 "address": u.entry.address.to_string(),
                 "hall": u.entry.hall.as_str(),
                 "usable": u.is_usable(),
-                "cold": u.cold.is_cold(now),
+                "cold": u.slow_start.is_cold(now),
                 "ejected": u.health.is_ejected(now),
                 "in_flight": u.load.in_flight(),
                 "requests": u.load.requests(now),
-                "failures": u.health.failures(now),
+                "failures": u.health.failure_rate(now),
             })
         })
         .collect();
--- a/crates/node/src/gateway/loads.rs
+++ b/crates/node/src/gateway/loads.rs
@@ -6,7 +6,7 @@
 
 use model::id;
 use prost::Message as _;
-use steer::dispatch::peers;
+use steer::dispatch::peer_load;
 use tokio::net::UdpSocket;
 use wire::gateway::loads as message;
 
@@ -102,7 +102,7 @@
     }
 }
 
-fn encode(node: &id::Node, in_flight: &[(peers::Key, u32)]) -> Vec<u8> {
+fn encode(node: &id::Node, in_flight: &[(peer_load::Key, u32)]) -> Vec<u8> {
     let loads = message::Loads {
         node: node.as_str().to_owned(),
         upstreams: in_flight.iter().map(|(key, _)| key.0).collect(),
@@ -116,7 +116,7 @@
 /// Takes what another node tells; a datagram that cannot be read is passed over.
 pub fn receive(state: &state::State, datagram: &[u8]) {
     let Ok(loads) = message::Loads::decode(datagram) else { return };
-    let upstreams = loads.upstreams.into_iter().map(peers::Key);
+    let upstreams = loads.upstreams.into_iter().map(peer_load::Key);
     let requests = upstreams.zip(loads.requests).collect();
     let node = id::Node::new(&loads.node);
     state.dispatcher.borrow_mut().set_peer_load(node, requests, Instant::now());
--- a/crates/node/src/gateway/state.rs
+++ b/crates/node/src/gateway/state/mod.rs
@@ -10,7 +10,7 @@
 use model::id;
 use model::routing;
 use rand::RngExt as _;
-use steer::dispatch::{cold, dispatcher};
+use steer::dispatch::{dispatcher, position, slow_start_owner};
 use tokio::sync::Notify;
 
 use crate::gateway::dialect;
@@ -101,7 +101,7 @@
     /// Makes the state of a node that knows nothing yet.
     #[must_use]
     pub fn new(settings: settings::Settings, incarnation: u64) -> Self {
-        let position = dispatcher::Position {
+        let position = position::Position {
             node: settings.node.clone(),
             region: settings.region.clone(),
             halls: settings.halls.clone(),
@@ -272,7 +272,7 @@
 
     /// Notes that a call to the store failed.
     pub fn store_disturbed(&self) {
-        self.dispatcher.borrow_mut().source_disturbed(Instant::now());
+        self.dispatcher.borrow_mut().source_failed(Instant::now());
     }
 
     /// Notes whether the store answers, with a line when that changes.
@@ -299,7 +299,7 @@
         let now = Instant::now();
         let members = self.members.borrow();
         let own = self.settings.borrow().node.clone();
-        let mut owners = cold::Owners {
+        let mut owners = slow_start_owner::Owners {
             near: members.near(now).filter(|m| !m.is_leaving).map(|m| m.node.clone()).collect(),
             listed: collections::BTreeMap::new(),
         };
--- /dev/null
+++ b/crates/steer/src/dispatch/admission.rs
@@ -0,0 +1,78 @@
+//! Admission: whether a request may wait for the best upstream, or is refused at once.
+//!
+//! Owns nothing. Relies on [`candidate::Candidate`] for the expected times. A queue that makes every
+//! answer late helps nobody, and a caller that is refused at once can retry where the queue is shorter.
+
+use std::time::Duration;
+
+use crate::dispatch::candidate;
+use crate::dispatch::refusal;
+use crate::dispatch::request;
+use crate::dispatch::seconds;
+
+/// Longest wait, as a part of the route's target latency, where only waiting makes an answer late.
+///
+/// Measured: docs/DECISIONS.md, "How long a request may wait" (0.25 to 1.5 and no bound compared), and
+/// docs/measurements/platform.md, row "refused at once where waiting would make late".
+const MAX_WAIT: f64 = 0.6;
+
+/// Longest `Retry-After` of an overloaded service.
+///
+/// Not measured; bounds how long a wrong estimate keeps a caller away.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
+
+/// Shortest `Retry-After` of an overloaded service.
+///
+/// Not measured; keeps refused callers from retrying at once.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+
+/// Refuses a request that `chosen` would answer too late.
+///
+/// Without a wait it is always admitted: its answer corrects an estimate that may be too high.
+///
+/// # Errors
+///
+/// Returns when to retry, with the estimate that decided.
+pub fn check(
+    chosen: &candidate::Candidate,
+    request: &request::Request<'_>,
+) -> Result<(), refusal::Refusal> {
+    let excess = excess(chosen, request);
+    let is_late = chosen.wait.0 > 0.0 && excess > 0.0;
+    if !is_late {
+        return Ok(());
+    }
+    let excess = excess.min(MAX_RETRY_AFTER.as_secs_f64());
+    let retry_after = MIN_RETRY_AFTER.max(Duration::from_secs_f64(excess));
+    Err(refusal::Refusal::Overloaded { retry_after, estimate: estimate(chosen, request) })
+}
+
+/// Returns how long a request may wait for an upstream, where work takes `work`.
+///
+/// Unbounded where work alone takes longer than the target latency, since refusing would not help.
+#[must_use]
+pub fn max_wait(work: seconds::Seconds, request: &request::Request<'_>) -> seconds::Seconds {
+    let target = request.route.target_latency.as_secs_f64();
+    match work.0 <= target {
+        true => seconds::Seconds(target * MAX_WAIT),
+        false => seconds::Seconds(f64::INFINITY),
+    }
+}
+
+/// Returns the seconds by which a request would be too late; negative when it is in time.
+///
+/// The answer must come before the deadline, and the wait stay within [`max_wait`].
+fn excess(chosen: &candidate::Candidate, request: &request::Request<'_>) -> f64 {
+    let beyond_deadline = chosen.expected.0 - request.time_left.as_secs_f64();
+    beyond_deadline.max(chosen.wait.0 - max_wait(chosen.work, request).0)
+}
+
+fn estimate(chosen: &candidate::Candidate, request: &request::Request<'_>) -> refusal::Estimate {
+    refusal::Estimate {
+        upstream: chosen.entry.id.clone(),
+        wait: Duration::from_secs_f64(chosen.wait.0),
+        expected: Duration::from_secs_f64(chosen.expected.0),
+        time_left: request.time_left,
+        load_age: chosen.load_age,
+    }
+}
--- /dev/null
+++ b/crates/steer/src/dispatch/candidate.rs
@@ -0,0 +1,29 @@
+//! Candidate: the best upstream of a region for a request, with what is expected of it.
+//!
+//! Owns nothing. Made by [`selection`]; compared by [`overflow`] and judged by [`admission`].
+//!
+//! [`admission`]: crate::dispatch::admission
+//! [`overflow`]: crate::dispatch::overflow
+//! [`selection`]: crate::dispatch::selection
+
+use std::sync;
+use std::time::Duration;
+
+use model::discovery;
+
+use crate::dispatch::seconds;
+
+/// The best upstream of a region for a request.
+#[derive(Clone, Debug)]
+pub struct Candidate {
+    /// The upstream's entry.
+    pub entry: sync::Arc<discovery::Entry>,
+    /// Time the request would wait there.
+    pub wait: seconds::Seconds,
+    /// Mean time that upstreams of the service work on a request.
+    pub work: seconds::Seconds,
+    /// Cautious estimate of the time until the answer.
+    pub expected: seconds::Seconds,
+    /// Age of the latest load that the upstream reported.
+    pub load_age: Duration,
+}
--- /dev/null
+++ b/crates/steer/src/dispatch/dispatcher/choice.rs
@@ -0,0 +1,121 @@
+//! Choice of an upstream: the rules in the order in which a request meets them.
+//!
+//! Route, order of regions, eligibility, selection in each region, overflow, admission. Each rule stands in
+//! a module of its own; here they only get their inputs.
+
+use std::sync;
+use std::time::Instant;
+
+use model::discovery;
+use model::id;
+use model::route;
+
+use crate::common::split;
+use crate::dispatch::admission;
+use crate::dispatch::candidate;
+use crate::dispatch::dispatcher::Dispatcher;
+use crate::dispatch::eligibility;
+use crate::dispatch::refusal;
+use crate::dispatch::region::order;
+use crate::dispatch::region::share;
+use crate::dispatch::region::shift;
+use crate::dispatch::request;
+use crate::dispatch::selection;
+
+impl Dispatcher {
+    /// Returns the service for the next request of a route; none when all weights are zero.
+    pub fn pick_service(&mut self, route: &route::Route) -> Option<id::Service> {
+        self.routes.next_service(route)
+    }
+
+    /// Returns the upstream for a request; [`Dispatcher::sent`] must follow when it is sent.
+    ///
+    /// # Errors
+    ///
+    /// Fails when no upstream may take the request, or the best one would answer too late.
+    pub fn choose(
+        &mut self,
+        request: &request::Request<'_>,
+        now: Instant,
+    ) -> Result<sync::Arc<discovery::Entry>, refusal::Refusal> {
+        if request.is_first_try() {
+            self.overflow.earn(self.bounds.greatest_shift);
+        }
+        let regions = self.region_order(request, now);
+        let best = regions.iter().filter_map(|region| self.best_in(region, request, now));
+        let best: Vec<candidate::Candidate> = best.collect();
+        let Some((own, others)) = best.split_first() else {
+            return Err(refusal::Refusal::NoUpstream(self.exclusions(request, now)));
+        };
+        let target_latency = request.route.target_latency;
+        let chosen = self.overflow.choose(own, others, target_latency).unwrap_or(own);
+        admission::check(chosen, request)?;
+        Ok(sync::Arc::clone(&chosen.entry))
+    }
+
+    /// Returns the split over regions that the capacities of a scope call for.
+    pub(super) fn region_target(&self, scope: &order::Scope, now: Instant) -> split::Split {
+        let regions = self.position.allowed_regions(&scope.home_regions).into_iter();
+        let capacities: Vec<share::Capacity> = regions
+            .map(|region| {
+                let slots = self.slots(&scope.service, &region, now);
+                share::Capacity { region, slots }
+            })
+            .collect();
+        share::target(&self.position.region, &capacities)
+    }
+
+    fn region_order(&mut self, request: &request::Request<'_>, now: Instant) -> Vec<id::Region> {
+        let scope = order::Scope::of(request);
+        let has_split = self.regions.get(&scope).is_some_and(|r| !r.split().is_empty());
+        let target = (!has_split).then(|| self.region_target(&scope, now));
+        let allowed = self.position.allowed_regions(&scope.home_regions);
+        let rotation = self.regions.entry(scope).or_default();
+        if let Some(target) = target {
+            rotation.advance(&target, shift::limit(&self.bounds), now);
+        }
+        rotation.order(request, allowed)
+    }
+
+    /// Returns the slots of a region's upstreams that take work.
+    fn slots(&self, service: &id::Service, region: &id::Region, now: Instant) -> f64 {
+        let of_service = self.services.get(service).into_iter().flatten();
+        of_service
+            .filter_map(|id| self.upstreams.get(id))
+            .filter(|u| u.region == *region && eligibility::takes_work(u, &self.evacuated))
+            .map(|u| share::effective_slots(u.entry.slots, u.slow_start.is_cold(now)))
+            .sum()
+    }
+
+    fn best_in(
+        &self,
+        region: &id::Region,
+        request: &request::Request<'_>,
+        now: Instant,
+    ) -> Option<candidate::Candidate> {
+        let work = self.work.get(request.service).copied().unwrap_or_default();
+        let rules = self.eligibility(now);
+        let of_service = self.services.get(request.service).into_iter().flatten();
+        let eligible = of_service
+            .filter_map(|id| self.upstreams.get(id))
+            .filter(|u| u.region == *region && rules.exclusion(u, request).is_none());
+        selection::best(eligible, request, work, now)
+    }
+
+    /// Counts the upstreams of the service by why they may not take the request.
+    fn exclusions(&self, request: &request::Request<'_>, now: Instant) -> refusal::Exclusions {
+        let of_service = self.services.get(request.service).into_iter().flatten();
+        let upstreams = of_service.filter_map(|id| self.upstreams.get(id));
+        self.eligibility(now).count(upstreams, request)
+    }
+
+    fn eligibility(&self, now: Instant) -> eligibility::Rules<'_> {
+        eligibility::Rules {
+            position: &self.position,
+            evacuated: &self.evacuated,
+            routing: &self.routing,
+            owners: &self.owners,
+            now,
+        }
+    }
+}
--- /dev/null
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -0,0 +1,93 @@
+//! Tries: what the dispatcher learns from the start and the end of each, and the retry budget.
+
+use std::time::{Duration, Instant};
+
+use model::id;
+use model::load;
+
+use crate::dispatch::dispatcher::Dispatcher;
+use crate::dispatch::outcome;
+use crate::dispatch::retry_budget;
+use crate::dispatch::seconds;
+use crate::dispatch::slow_start;
+use crate::dispatch::upstream;
+
+impl Dispatcher {
+    /// Takes one retry to `service` from the budget; returns false when none is left.
+    pub fn may_retry(&mut self, service: &id::Service, now: Instant) -> bool {
+        let allowance = self.allowance();
+        self.budgets.entry(service.clone()).or_default().retry(allowance, now)
+    }
+
+    /// Records the start of a try; `is_first` unless the request was sent before.
+    ///
+    /// Returns the upstream's crowding, which the try's end needs; 1 when the upstream is not known.
+    pub fn sent(&mut self, upstream: &id::Upstream, is_first: bool, now: Instant) -> f64 {
+        let allowance = self.allowance();
+        let Some(upstream) = self.upstreams.get_mut(upstream) else { return 1.0 };
+        let crowding = upstream.crowding(now);
+        upstream.health.sent(upstream.load.in_flight(), now);
+        upstream.load.sent();
+        let service = &upstream.entry.service;
+        if let Some(rate) = slow_start::rate(&self.routing, service)
+            && upstream.slow_start.is_cold(now)
+        {
+            upstream.slow_start.take(rate, now);
+        }
+        if is_first {
+            self.budgets.entry(service.clone()).or_default().first_try(allowance, now);
+        }
+        crowding
+    }
+
+    /// Records how a try ended that [`Dispatcher::sent`] announced `waited` ago.
+    ///
+    /// A try at an upstream that is gone since changes nothing.
+    pub fn ended(
+        &mut self,
+        upstream: &id::Upstream,
+        outcome: outcome::Outcome,
+        waited: Duration,
+        now: Instant,
+    ) {
+        let Some(upstream) = self.upstreams.get_mut(upstream) else { return };
+        let service = self.work.entry(upstream.entry.service.clone()).or_default();
+        upstream.load.ended();
+        let in_flight = upstream.load.in_flight();
+        match outcome {
+            outcome::Outcome::Answered { latency, crowding, load } => {
+                let work = seconds::Seconds(latency.as_secs_f64() / crowding.max(1.0));
+                upstream.health.answered(work, service.mean(), in_flight, now);
+                service.record(work);
+                apply_report(upstream, load, now);
+            }
+            outcome::Outcome::TurnedAway { load } => {
+                upstream.health.refused(in_flight, now);
+                apply_report(upstream, load, now);
+                upstream.load.full(upstream.entry.slots, now);
+            }
+            outcome::Outcome::Replaced => upstream.is_replaced = true,
+            outcome::Outcome::NotSent => upstream.health.unreachable(now),
+            outcome::Outcome::Broken => upstream.health.broken(now),
+            outcome::Outcome::TimedOut => upstream.health.timed_out(waited, service.mean(), now),
+            outcome::Outcome::Abandoned => {}
+        }
+        upstream.health.ended(in_flight);
+    }
+
+    fn allowance(&self) -> retry_budget::Allowance {
+        #[expect(clippy::cast_precision_loss, reason = "a few hundred nodes")]
+        let nodes = self.max_nodes as f64;
+        retry_budget::Allowance {
+            window: self.bounds.retry_window,
+            ratio: self.bounds.retry_ratio,
+            slack: self.bounds.retry_slack / nodes,
+        }
+    }
+}
+
+fn apply_report(upstream: &mut upstream::Upstream, report: Option<load::Report>, now: Instant) {
+    if let Some(report) = report {
+        upstream.load.report(report, now);
+    }
+}
--- /dev/null
+++ b/crates/steer/src/dispatch/eligibility.rs
@@ -0,0 +1,113 @@
+//! Eligibility: whether an upstream may take a request at all, and why not.
+//!
+//! Owns nothing. Relies on the upstream's state, the evacuated halls, the route's home regions and
+//! [`slow_start`]. [`selection`] then picks among the eligible upstreams of a region.
+//!
+//! [`selection`]: crate::dispatch::selection
+
+use std::collections;
+use std::time::Instant;
+
+use model::id;
+use model::routing;
+
+use crate::dispatch::position;
+use crate::dispatch::refusal;
+use crate::dispatch::request;
+use crate::dispatch::slow_start;
+use crate::dispatch::slow_start_owner;
+use crate::dispatch::upstream;
+
+/// Why an upstream may not take a request, in the order in which the reasons are checked.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Exclusion {
+    /// Its region may not serve the route.
+    Outside,
+    /// It drains, or another upstream has its address.
+    Leaving,
+    /// Its hall is evacuated.
+    Evacuated,
+    /// The request was sent to it before.
+    Tried,
+    /// It is cold, and this node may not send it one more request now.
+    Cold,
+}
+
+/// What decides whether upstreams are eligible.
+#[derive(Clone, Copy, Debug)]
+pub struct Rules<'a> {
+    /// Where this node stands.
+    pub position: &'a position::Position,
+    /// Evacuated halls.
+    pub evacuated: &'a collections::BTreeSet<id::Hall>,
+    /// Configuration in force.
+    pub routing: &'a routing::Routing,
+    /// Nodes among which cold upstreams are shared out.
+    pub owners: &'a slow_start_owner::Owners,
+    /// The present.
+    pub now: Instant,
+}
+
+impl Rules<'_> {
+    /// Returns why `upstream` may not take `request`; none when it may.
+    #[must_use]
+    pub fn exclusion(
+        &self,
+        upstream: &upstream::Upstream,
+        request: &request::Request<'_>,
+    ) -> Option<Exclusion> {
+        let homes = &request.route.home_regions;
+        match () {
+            () if !homes.is_empty() && !homes.contains(&upstream.region) => {
+                Some(Exclusion::Outside)
+            }
+            () if !upstream.is_usable() => Some(Exclusion::Leaving),
+            () if !takes_work(upstream, self.evacuated) => Some(Exclusion::Evacuated),
+            () if request.tried.contains(&upstream.entry.id) => Some(Exclusion::Tried),
+            () if !self.may_warm(upstream) => Some(Exclusion::Cold),
+            () => None,
+        }
+    }
+
+    /// Counts `upstreams` by why they may not take `request`.
+    pub fn count<'a>(
+        &self,
+        upstreams: impl Iterator<Item = &'a upstream::Upstream>,
+        request: &request::Request<'_>,
+    ) -> refusal::Exclusions {
+        let mut counts = refusal::Exclusions::default();
+        for upstream in upstreams {
+            counts.known += 1;
+            match self.exclusion(upstream, request) {
+                Some(Exclusion::Outside) => counts.outside += 1,
+                Some(Exclusion::Leaving) => counts.leaving += 1,
+                Some(Exclusion::Evacuated) => counts.evacuated += 1,
+                Some(Exclusion::Tried) => counts.tried += 1,
+                Some(Exclusion::Cold) => counts.cold += 1,
+                None => {}
+            }
+        }
+        counts
+    }
+
+    /// Returns whether slow start lets this node send one more request to `upstream`.
+    fn may_warm(&self, upstream: &upstream::Upstream) -> bool {
+        let Some(rate) = slow_start::rate(self.routing, &upstream.entry.service) else {
+            return true;
+        };
+        if !upstream.slow_start.is_cold(self.now) {
+            return true;
+        }
+        let owner = self.owners.of(&upstream.entry.id, &upstream.region, &self.position.region);
+        owner == Some(&self.position.node) && upstream.slow_start.has_room(rate, self.now)
+    }
+}
+
+/// Returns whether an upstream takes new work, whatever the request.
+#[must_use]
+pub fn takes_work(
+    upstream: &upstream::Upstream,
+    evacuated: &collections::BTreeSet<id::Hall>,
+) -> bool {
+    upstream.is_usable() && !evacuated.contains(&upstream.entry.hall)
+}
--- a/crates/steer/src/dispatch/give_up.rs
+++ b/crates/steer/src/dispatch/give_up.rs
@@ -7,14 +7,14 @@
 
 use std::time::Duration;
 
-/// `Retry-After` when upstreams refused, were unreachable or are about to be listed.
+/// `Retry-After` when upstreams refused or none could be reached or chosen.
 ///
-/// Not measured; shorter than one answer, since another node or a moment later often succeeds.
+/// Not measured; short, since a refusal does not say how long its cause lasts.
 const RETRY_AFTER_REFUSALS: Duration = Duration::from_millis(60);
 
 /// `Retry-After` when nothing is known about when a retry would succeed.
 ///
-/// Not measured; longer than [`RETRY_AFTER_REFUSALS`], since the cause does not pass by itself.
+/// Not measured; longer than [`RETRY_AFTER_REFUSALS`], since no upstream has refused yet.
 pub const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(200);
 
 /// Why a request is given up.
--- a/crates/steer/src/dispatch/mod.rs
+++ b/crates/steer/src/dispatch/mod.rs
@@ -1,24 +1,45 @@
-//! Dispatch: which upstream takes a request that an entry node sends by itself.
+//! Dispatch: which upstream takes a request that a gateway sends by itself.
 //!
-//! Each node decides alone, from the entries that service discovery tells, the load that answers
-//! tell, and what it has in flight itself. Requests about one object meet the same upstream as long
-//! as that is not overloaded.
+//! Each node decides alone, from the entries of service discovery, the load that answers and other nodes
+//! report, and its own requests in flight. Requests for one object go to the same upstream as long as
+//! that is not overloaded. [`dispatcher`] owns the state; each rule stands in a module of its own.
+//!
+//! In the order in which a request meets them: [`route`] (which service), [`region`] (which region),
+//! [`eligibility`] (which upstreams may take it), [`selection`] and [`affinity`] (which one is best),
+//! [`overflow`] (whether it leaves its region), [`admission`] (whether it may wait), [`retry`] and
+//! [`retry_budget`] (whether it is sent again), [`give_up`] (what its caller is answered).
+//!
+//! What the rules know of an upstream: [`ejection`], [`failure_rate`], [`silence`], [`work_time`] (together
+//! [`health`]), [`slow_start`] and its owner, [`expected_work`], [`reported_load`], [`peer_load`],
+//! [`lapsed`] entries.
 
-pub mod ask;
-pub mod cold;
+pub mod admission;
+pub mod affinity;
+pub mod candidate;
 pub mod dispatcher;
 pub mod execution;
+pub mod ejection;
+pub mod eligibility;
+pub mod expected_work;
+pub mod failure_rate;
 pub mod give_up;
 pub mod health;
-pub mod lapse;
-pub mod load;
+pub mod lapsed;
 pub mod outcome;
-pub mod peers;
+pub mod overflow;
+pub mod peer_load;
+pub mod position;
 pub mod refusal;
-pub mod retries;
+pub mod region;
+pub mod reported_load;
+pub mod request;
 pub mod retry;
-pub mod round_robin;
-pub mod shares;
-pub mod spill;
+pub mod retry_budget;
+pub mod route;
+pub mod seconds;
+pub mod selection;
+pub mod silence;
+pub mod slow_start;
+pub mod slow_start_owner;
 pub mod upstream;
-pub mod work;
+pub mod work_time;
--- a/crates/steer/src/dispatch/outcome.rs
+++ b/crates/steer/src/dispatch/outcome.rs
@@ -1,4 +1,9 @@
-//! How a try at an upstream ended.
+//! Outcome: how a try at an upstream ended, as far as it changes what a node knows of the upstream.
+//!
+//! Made by the gateway at the end of each try, and applied by the dispatcher. What follows for the request
+//! is decided by [`retry`].
+//!
+//! [`retry`]: crate::dispatch::retry
 
 use std::time::Duration;
 
@@ -7,27 +12,27 @@
 /// How a try at an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It answered, after this time.
+    /// It answered.
     Answered {
         /// Time from sending to the answer.
         latency: Duration,
         /// How many times the work of one request passed until it was done, as far as known.
         crowding: f64,
-        /// Load it told.
+        /// Load that it reported.
         load: Option<load::Report>,
     },
-    /// It turned the request away without running it.
+    /// It refused the request without running it.
     TurnedAway {
-        /// Load it told.
+        /// Load that it reported.
         load: Option<load::Report>,
     },
-    /// Another upstream has its address.
+    /// Another upstream answers at its address.
     Replaced,
-    /// No connection came up, so nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     NotSent,
-    /// The connection broke, or the answer was not one.
+    /// The connection broke, or the answer is not valid.
     Broken,
-    /// The request's time was up.
+    /// The request's deadline passed.
     TimedOut,
     /// The caller left.
     Abandoned,
--- a/crates/steer/src/dispatch/refusal.rs
+++ b/crates/steer/src/dispatch/refusal.rs
@@ -1,4 +1,10 @@
-//! Why a request gets no upstream, with what decided that.
+//! Refusal: why the dispatcher finds no upstream for a request, with what decided that.
+//!
+//! Owns the text of the log key `inputs`, which docs/OPERATIONS.md explains. Made by [`eligibility`] and
+//! [`admission`].
+//!
+//! [`admission`]: crate::dispatch::admission
+//! [`eligibility`]: crate::dispatch::eligibility
 
 use std::fmt;
 use std::time::Duration;
@@ -7,14 +13,14 @@
 
 use crate::dispatch::give_up;
 
-/// Why a request gets no upstream; it has not run.
+/// Why a request gets no upstream. It has not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// No upstream of the service may take it now.
-    NoUpstream(Census),
-    /// Every upstream has more work than fits into the time that the request has.
+    NoUpstream(Exclusions),
+    /// The best upstream would answer it too late.
     Overloaded {
-        /// Time after which it is worth another try.
+        /// Time after which a retry may be admitted.
         retry_after: Duration,
         /// What was known of the best upstream.
         estimate: Estimate,
@@ -23,18 +29,18 @@
 
 /// Upstreams of a service by why they may not take a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Census {
-    /// All upstreams that are known.
+pub struct Exclusions {
+    /// All upstreams of the service.
     pub known: usize,
-    /// Those that leave, or whose address another one has.
+    /// Those that drain, or whose address another one has.
     pub leaving: usize,
     /// Those in regions that may not serve the route.
     pub outside: usize,
     /// Those in evacuated halls.
     pub evacuated: usize,
-    /// Cold ones that may not have one more request from this node now.
+    /// Cold ones to which this node may not send one more request now.
     pub cold: usize,
-    /// Those that had the request before.
+    /// Those that the request was sent to before.
     pub tried: usize,
 }
 
@@ -45,11 +51,11 @@
     pub upstream: id::Upstream,
     /// Time the request would have waited there.
     pub wait: Duration,
-    /// Careful guess of the time until it would have been done.
+    /// Cautious estimate of the time until the answer.
     pub expected: Duration,
-    /// Time the request had left.
-    pub left: Duration,
-    /// Age of what was last heard of the upstream's load.
+    /// Time until the request's deadline.
+    pub time_left: Duration,
+    /// Age of the latest load that the upstream reported.
     pub load_age: Duration,
 }
 
@@ -67,21 +73,23 @@
 }
 
 impl fmt::Display for Refusal {
-    /// Writes what decided, as pairs for logs.
+    /// Writes what decided, as the log key `inputs` holds it.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoUpstream(Census { known, outside, leaving, evacuated, cold, tried }) => write!(
-                formatter,
-                "known={known} outside={outside} leaving={leaving} evacuated={evacuated} cold={cold} tried={tried}"
-            ),
+            Self::NoUpstream(Exclusions { known, outside, leaving, evacuated, cold, tried }) => {
+                write!(
+                    formatter,
+                    "known={known} outside={outside} leaving={leaving} evacuated={evacuated} cold={cold} tried={tried}"
+                )
+            }
             Self::Overloaded { estimate, .. } => {
-                let Estimate { upstream, wait, expected, left, load_age } = estimate;
+                let Estimate { upstream, wait, expected, time_left, load_age } = estimate;
                 write!(
                     formatter,
                     "upstream={upstream} wait_ms={} expected_ms={} left_ms={} load_age_ms={}",
                     wait.as_millis(),
                     expected.as_millis(),
-                    left.as_millis(),
+                    time_left.as_millis(),
                     load_age.as_millis()
                 )
             }
--- a/crates/steer/src/dispatch/shares.rs
+++ b/crates/steer/src/dispatch/region/share.rs
@@ -1,14 +1,27 @@
-//! Shares: which part of a region's requests for a service each region should run.
+//! Target share of each region in the requests for a service that enter in one region.
 //!
-//! Regions are taken to have equal demand. A region keeps what its part of all slots can carry, and
-//! sends the rest to regions with more than their own demand needs, in proportion to what they have
-//! to spare.
+//! Owns nothing. Regions are assumed to have equal demand: a region serves what its part of all slots
+//! can carry, and sends the rest to regions with spare slots, in proportion to these. Relies on the
+//! dispatcher for the slots of upstreams that take work; [`shift`] moves splits toward the target.
+//!
+//! [`shift`]: crate::dispatch::region::shift
 
 use model::id;
 
 use crate::common::split;
 
-/// Usable slots of one region.
+/// Part of its slots that a cold upstream counts for.
+///
+/// Not measured; below one, since a cold upstream takes longer and slow start limits it.
+const COLD_SLOTS: f64 = 0.3;
+
+/// Returns the slots that an upstream adds to its region's capacity.
+#[must_use]
+pub fn effective_slots(slots: u32, is_cold: bool) -> f64 {
+    f64::from(slots) * if is_cold { COLD_SLOTS } else { 1.0 }
+}
+
+/// Slots of one region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capacity {
     /// The region.
--- a/crates/steer/src/dispatch/retry.rs
+++ b/crates/steer/src/dispatch/retry.rs
@@ -1,9 +1,11 @@
 //! Retry: whether a request is sent to another upstream after a try ended.
 //!
 //! Owns the progress of one request: upstreams chosen, how each try ended, whether it may have run.
-//! Relies on [`dispatcher`] for the upstream of each try, on `retry_budget` through the caller's
+//! Relies on [`dispatcher`] for the upstream of each try, on [`retry_budget`] through the caller's
 //! `take_retry`, and on [`give_up`] for the reasons. The gateway's `proxy::tries` performs the I/O and
 //! reports how each try ended.
+//!
+//! [`retry_budget`]: crate::dispatch::retry_budget
 
 use std::fmt;
 use std::sync;
@@ -13,10 +15,10 @@
 use model::id;
 use model::route;
 
-use crate::dispatch::ask;
 use crate::dispatch::dispatcher;
 use crate::dispatch::give_up;
 use crate::dispatch::refusal;
+use crate::dispatch::request;
 
 /// Failed connections, in upstreams, after which a request is given up.
 ///
@@ -181,14 +183,14 @@
         dispatcher: &mut dispatcher::Dispatcher,
         now: Instant,
     ) -> Result<Choice, give_up::Reason> {
-        let ask = ask::Ask {
+        let for_dispatcher = request::Request {
             route: request.route,
             service: request.service,
             key: request.key,
             tried: &self.chosen,
-            left: request.deadline.saturating_duration_since(now),
+            time_left: request.deadline.saturating_duration_since(now),
         };
-        match dispatcher.choose(&ask, now) {
+        match dispatcher.choose(&for_dispatcher, now) {
             Ok(upstream) => {
                 let is_first = self.chosen.is_empty();
                 self.chosen.push(upstream.id.clone());
--- a/crates/steer/src/dispatch/retries.rs
+++ b/crates/steer/src/dispatch/retry_budget.rs
@@ -1,12 +1,20 @@
-//! Retry budgets: this node's part of the retries that the fleet may send to a service.
+//! Retry budget: this node's part of the retries that the fleet may send to a service.
+//!
+//! Owns the counts of one service over a sliding window. Relies on `Bounds` for the ratio, the window and
+//! the slack, which the dispatcher divides by the nodes of the fleet. Called by [`retry`], for every send
+//! of a request that an upstream may have received before.
+//!
+//! [`retry`]: crate::dispatch::retry
 
 use std::collections;
 use std::time::{Duration, Instant};
 
-/// Part of the allowance that is used, for the delay between sending and arriving.
-const USED: f64 = 0.75;
+/// Part of the allowance that is used.
+///
+/// Not measured; the margin is for the delay between sending and arriving, where the limit is counted.
+const USED_SHARE: f64 = 0.75;
 
-/// Buckets in a window.
+/// Buckets in a window. Not measured; a request leaves the window at most a twentieth late.
 const BUCKETS: u32 = 20;
 
 /// Requests and retries to one service, over a sliding window.
@@ -27,24 +35,24 @@
 pub struct Allowance {
     /// Length of the window.
     pub window: Duration,
-    /// Retries for each request.
+    /// Retries allowed for each first try.
     pub ratio: f64,
-    /// Retries beside those, for this node.
+    /// Retries allowed beside those, for this node, in one window.
     pub slack: f64,
 }
 
 impl Budget {
-    /// Notes a first try.
+    /// Records a first try.
     pub fn first_try(&mut self, allowance: Allowance, now: Instant) {
         self.bucket(allowance, now).first_tries += 1;
     }
 
-    /// Takes one retry out; returns false when none is left.
+    /// Takes one retry; returns false when none is left.
     pub fn retry(&mut self, allowance: Allowance, now: Instant) -> bool {
         let first_tries: u32 = self.within(allowance, now).map(|b| b.first_tries).sum();
         let retries: u32 = self.within(allowance, now).map(|b| b.retries).sum();
         let most = f64::from(first_tries) * allowance.ratio + allowance.slack;
-        let is_allowed = f64::from(retries) + 1.0 <= most * USED;
+        let is_allowed = f64::from(retries) + 1.0 <= most * USED_SHARE;
         if is_allowed {
             self.bucket(allowance, now).retries += 1;
         }
--- /dev/null
+++ b/crates/steer/src/dispatch/seconds.rs
@@ -0,0 +1,16 @@
+//! Seconds as a floating-point number, for estimates that are averaged and compared.
+//!
+//! Relies on nothing. `std::time::Duration` rounds to nanoseconds, which would change the order of two
+//! nearly equal estimates and so which upstream takes a request.
+
+use std::time::Duration;
+
+/// A time in seconds; may be negative or infinite.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+pub struct Seconds(pub f64);
+
+impl From<Duration> for Seconds {
+    fn from(duration: Duration) -> Self {
+        Self(duration.as_secs_f64())
+    }
+}
--- a/crates/steer/src/dispatch/upstream.rs
+++ b/crates/steer/src/dispatch/upstream.rs
@@ -1,4 +1,7 @@
-//! Upstreams: entries with what this node knows of them.
+//! Upstreams: entries of discovery with what this node knows of each.
+//!
+//! Owns the state of one upstream: load, health, slow start. The dispatcher owns them all and feeds each
+//! with the sends and the ends of its tries.
 
 use std::sync;
 use std::time::Instant;
@@ -6,41 +9,42 @@
 use model::discovery;
 use model::id;
 
-use crate::dispatch::cold;
 use crate::dispatch::health;
-use crate::dispatch::load;
+use crate::dispatch::reported_load;
+use crate::dispatch::seconds;
+use crate::dispatch::slow_start;
 
 /// An entry with what this node knows of it.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// The entry as service discovery tells it.
+    /// The entry as service discovery lists it.
     pub entry: sync::Arc<discovery::Entry>,
     /// Its region.
     pub region: id::Region,
     /// Its load.
-    pub load: load::Load,
+    pub load: reported_load::Load,
     /// Its health.
     pub health: health::Health,
-    /// What it may be sent while it is cold.
-    pub cold: cold::Limiter,
+    /// Limits what it is sent while it is cold.
+    pub slow_start: slow_start::Limiter,
     /// Whether another entry answered at its address.
     pub is_replaced: bool,
-    /// Until when it is used though its entry went, since that may only have lapsed.
+    /// Until when it is used without an entry, which may only have lapsed.
     pub lapsed_until: Option<Instant>,
 }
 
 impl Upstream {
-    /// Makes a upstream of a newly told entry.
+    /// Makes an upstream of a new entry.
     #[must_use]
     pub fn new(entry: sync::Arc<discovery::Entry>, region: id::Region, now: Instant) -> Self {
-        let mut cold = cold::Limiter::new(now);
-        cold.cold_for(entry.cold_left, now);
+        let mut slow_start = slow_start::Limiter::new(now);
+        slow_start.set_cold(entry.cold_left, now);
         Self {
             entry,
             region,
-            load: load::Load::new(now),
+            load: reported_load::Load::new(now),
             health: health::Health::new(now),
-            cold,
+            slow_start,
             is_replaced: false,
             lapsed_until: None,
         }
@@ -52,22 +56,22 @@
         self.entry.state == discovery::State::Ready && !self.is_replaced
     }
 
-    /// Returns how many times the work of one request passes until one more would be done.
+    /// Returns the work times of one request that pass until one more would be done; at least 1.
     #[must_use]
     pub fn crowding(&self, now: Instant) -> f64 {
         let slots = f64::from(self.entry.slots);
         ((self.load.requests(now) + 1.0) / slots).max(1.0)
     }
 
-    /// Returns how long one more request would wait and be worked on, in seconds.
+    /// Returns how long one more request would wait and be worked on.
     #[must_use]
-    pub fn expected(&self, service_work: f64, now: Instant) -> f64 {
-        self.health.work(service_work, now) * self.crowding(now)
+    pub fn expected(&self, service: seconds::Seconds, now: Instant) -> seconds::Seconds {
+        seconds::Seconds(self.health.work(service, now).0 * self.crowding(now))
     }
 
-    /// Returns how long one more request would wait, in seconds.
+    /// Returns how long one more request would wait.
     #[must_use]
-    pub fn wait(&self, service_work: f64, now: Instant) -> f64 {
-        self.health.work(service_work, now) * (self.crowding(now) - 1.0)
+    pub fn wait(&self, service: seconds::Seconds, now: Instant) -> seconds::Seconds {
+        seconds::Seconds(self.health.work(service, now).0 * (self.crowding(now) - 1.0))
     }
 }
--- a/crates/steer/tests/dispatch.rs
+++ b/crates/steer/tests/dispatch.rs
@@ -7,8 +7,10 @@
 
 use model::{bounds, discovery, id, route, routing};
 use quickcheck::quickcheck;
+use steer::common::round_robin;
+use steer::dispatch::region::share;
 use steer::dispatch::{
-    ask, cold, dispatcher, outcome, peers, refusal, retries, round_robin, shares,
+    dispatcher, outcome, peer_load, position, refusal, request, retry_budget, slow_start_owner,
 };
 
 /// Requests of a test that looks at shares.
@@ -20,7 +22,7 @@
 }
 
 fn dispatcher(node: &str) -> dispatcher::Dispatcher {
-    let position = dispatcher::Position {
+    let position = position::Position {
         node: id::Node::new(node),
         region: id::Region::new("north"),
         halls: halls(),
@@ -78,8 +80,9 @@
     now: Instant,
 ) -> Result<sync::Arc<discovery::Entry>, refusal::Refusal> {
     let service = id::Service::new("desk");
-    let left = Duration::from_secs(2);
-    dispatcher.choose(&ask::Ask { route, service: &service, key, tried: &[], left }, now)
+    let time_left = Duration::from_secs(2);
+    let request = request::Request { route, service: &service, key, tried: &[], time_left };
+    dispatcher.choose(&request, now)
 }
 
 fn answered() -> outcome::Outcome {
@@ -117,8 +120,11 @@
     }
     let elsewhere: Vec<_> = many().into_iter().filter(|e| e.hall.as_str() != "s-1").collect();
     set(&mut dispatcher, &elsewhere, now);
-    let census = refusal::Census { known: 4, outside: 4, ..refusal::Census::default() };
-    assert_eq!(choose(&mut dispatcher, &homes, 1, now), Err(refusal::Refusal::NoUpstream(census)));
+    let exclusions = refusal::Exclusions { known: 4, outside: 4, ..refusal::Exclusions::default() };
+    assert_eq!(
+        choose(&mut dispatcher, &homes, 1, now),
+        Err(refusal::Refusal::NoUpstream(exclusions))
+    );
 }
 
 #[test]
@@ -165,8 +171,10 @@
     let now = Instant::now();
     let mut dispatcher = dispatcher("n");
     set(&mut dispatcher, &many(), now);
-    let crowd: Vec<_> =
-        ["i-0", "i-1"].iter().map(|name| (peers::Key::of(&id::Upstream::new(name)), 30)).collect();
+    let crowd: Vec<_> = ["i-0", "i-1"]
+        .iter()
+        .map(|name| (peer_load::Key::of(&id::Upstream::new(name)), 30))
+        .collect();
     dispatcher.set_peer_load(id::Node::new("m"), crowd, now);
     let mut in_south = 0;
     let asked = 300;
@@ -192,7 +200,8 @@
     for node in &nodes {
         let mut dispatcher = dispatcher(node.as_str());
         dispatcher.configure(rules(10.0));
-        let owners = cold::Owners { near: nodes.clone(), ..cold::Owners::default() };
+        let owners =
+            slow_start_owner::Owners { near: nodes.clone(), ..slow_start_owner::Owners::default() };
         dispatcher.set_nodes(owners, nodes.len());
         set(&mut dispatcher, std::slice::from_ref(&cold), began);
         for step in 0..1_000 {
@@ -216,7 +225,7 @@
     set(&mut dispatcher, &[entry("i-0", "n-1")], now);
     dispatcher.set_evacuated([id::Hall::new("n-1")].into(), now);
     dispatcher.set_evacuated(collections::BTreeSet::new(), now);
-    assert!(dispatcher.upstreams().all(|b| b.cold.is_cold(now)));
+    assert!(dispatcher.upstreams().all(|b| b.slow_start.is_cold(now)));
 }
 
 #[test]
@@ -272,18 +281,18 @@
     dispatcher.ended(&only[0].id, outcome::Outcome::Replaced, Duration::ZERO, now);
     set(&mut dispatcher, &only, now);
     let refused = choose(&mut dispatcher, &route(&[]), 1, now);
-    let census = refusal::Census { known: 1, leaving: 1, ..refusal::Census::default() };
-    assert_eq!(refused, Err(refusal::Refusal::NoUpstream(census)));
+    let exclusions = refusal::Exclusions { known: 1, leaving: 1, ..refusal::Exclusions::default() };
+    assert_eq!(refused, Err(refusal::Refusal::NoUpstream(exclusions)));
 }
 
 #[test]
 fn budget_retries_stay_below_the_fleet_s_ratio() {
     let began = Instant::now();
     let allowance =
-        retries::Allowance { window: Duration::from_secs(10), ratio: 0.2, slack: 8.0 / 8.0 };
+        retry_budget::Allowance { window: Duration::from_secs(10), ratio: 0.2, slack: 8.0 / 8.0 };
     let mut sum = 0;
     for _ in 0..8 {
-        let mut budget = retries::Budget::default();
+        let mut budget = retry_budget::Budget::default();
         for step in 0..100 {
             let now = began + Duration::from_millis(50) * step;
             budget.first_try(allowance, now);
@@ -295,18 +304,17 @@
 
 #[test]
 fn an_idle_region_keeps_what_its_slots_carry() {
-    let capacity =
-        |region: &str, slots| shares::Capacity { region: id::Region::new(region), slots };
+    let capacity = |region: &str, slots| share::Capacity { region: id::Region::new(region), slots };
     let capacities = [capacity("a", 12.0), capacity("b", 48.0), capacity("c", 60.0)];
     let share =
         |split: &steer::common::split::Split, region: &str| split.share(&id::Region::new(region));
-    let small = shares::target(&id::Region::new("a"), &capacities);
+    let small = share::target(&id::Region::new("a"), &capacities);
     assert_eq!(share(&small, "a"), 300_000);
     // The rest goes where there is slack: 8 of 28 to b, 20 of 28 to c.
     assert!(share(&small, "b").abs_diff(200_000) <= 2 && share(&small, "c").abs_diff(500_000) <= 2);
-    let large = shares::target(&id::Region::new("c"), &capacities);
+    let large = share::target(&id::Region::new("c"), &capacities);
     assert_eq!(share(&large, "c"), 1_000_000);
-    assert!(shares::target(&id::Region::new("a"), &[capacity("a", 0.0)]).is_empty());
+    assert!(share::target(&id::Region::new("a"), &[capacity("a", 0.0)]).is_empty());
 }
 
 quickcheck! {
@@ -336,8 +344,8 @@
     fn all_nodes_agree_on_the_owner_of_a_cold_upstream(names: Vec<u16>, upstream: u16) -> bool {
         let nodes: Vec<id::Node> = names.iter().map(|n| id::Node::new(&n.to_string())).collect();
         let upstream = id::Upstream::new(&upstream.to_string());
-        let forward = cold::owner(&upstream, nodes.iter());
-        let backward = cold::owner(&upstream, nodes.iter().rev());
+        let forward = slow_start_owner::owner(&upstream, nodes.iter());
+        let backward = slow_start_owner::owner(&upstream, nodes.iter().rev());
         forward == backward && forward.is_some() != nodes.is_empty()
     }
 }
@@ -347,7 +355,7 @@
     let began = Instant::now();
     let mut dispatcher = dispatcher("n");
     set(&mut dispatcher, &many(), began);
-    dispatcher.source_disturbed(began);
+    dispatcher.source_failed(began);
     let back = began + Duration::from_secs(1);
     set(&mut dispatcher, &many()[..5], back);
     assert_eq!(dispatcher.upstreams().count(), 6);
@@ -365,7 +373,7 @@
     let began = Instant::now();
     let mut dispatcher = dispatcher("n");
     set(&mut dispatcher, &many(), began);
-    dispatcher.source_disturbed(began);
+    dispatcher.source_failed(began);
     set(&mut dispatcher, &[], began);
     let told: Vec<_> = many().into_iter().map(sync::Arc::new).collect();
     assert!(dispatcher.differs(&told));
@@ -381,7 +389,7 @@
     set(&mut dispatcher, &many(), began);
     set(&mut dispatcher, &many()[..5], began);
     assert_eq!(dispatcher.upstreams().count(), 5);
-    dispatcher.source_disturbed(began);
+    dispatcher.source_failed(began);
     set(&mut dispatcher, &many()[..4], began + Duration::from_secs(4));
     assert_eq!(dispatcher.upstreams().count(), 4);
 }
@@ -393,7 +401,7 @@
     let mut leaving = entry("i-0", "n-1");
     leaving.state = discovery::State::Draining;
     set(&mut dispatcher, &[leaving], began);
-    dispatcher.source_disturbed(began);
+    dispatcher.source_failed(began);
     set(&mut dispatcher, &[], began);
     assert_eq!(dispatcher.upstreams().count(), 0);
 }
@@ -416,7 +424,7 @@
     set(&mut dispatcher, &many()[..2], now);
     let knows = choose(&mut dispatcher, &route(&[]), 7, now).expect("both are idle");
     let mut chosen_at = |requests: u32| {
-        let load = vec![(peers::Key::of(&knows.id), requests)];
+        let load = vec![(peer_load::Key::of(&knows.id), requests)];
         dispatcher.set_peer_load(id::Node::new("m"), load, now);
         choose(&mut dispatcher, &route(&[]), 7, now).expect("one is idle").id.clone()
     };
@@ -438,7 +446,7 @@
     let refused = choose(&mut dispatcher, &route(&["north"]), 1, now).expect_err("none is left");
     assert_eq!(refused.to_string(), "known=3 outside=1 leaving=1 evacuated=1 cold=0 tried=0");
     dispatcher.set_evacuated(collections::BTreeSet::new(), now);
-    let load = vec![(peers::Key::of(&id::Upstream::new("i-1")), 400)];
+    let load = vec![(peer_load::Key::of(&id::Upstream::new("i-1")), 400)];
     dispatcher.set_peer_load(id::Node::new("m"), load, now);
     let later = now + Duration::from_millis(35);
     let refused = choose(&mut dispatcher, &route(&["north"]), 1, later).expect_err("it is full");
@@ -453,7 +461,7 @@
     let (north, south) = (id::Region::new("north"), id::Region::new("south"));
     let listed: collections::BTreeMap<_, _> =
         [(north.clone(), names(&["n-1", "n-2"])), (south.clone(), names(&["s-1"]))].into();
-    let owners = cold::Owners { near: names(&["n-1", "n-2"]), listed };
+    let owners = slow_start_owner::Owners { near: names(&["n-1", "n-2"]), listed };
     for index in 0..50 {
         let upstream = id::Upstream::new(&format!("i-{index}"));
         let owner = |region| owners.of(&upstream, region, &north);
@@ -471,7 +479,7 @@
     set(&mut dispatcher, &[entry("i-0", "n-1")], now);
     let mut wanted = route(&[]);
     let mut ask_at = |requests: u32, target: Duration| {
-        let load = vec![(peers::Key::of(&id::Upstream::new("i-0")), requests)];
+        let load = vec![(peer_load::Key::of(&id::Upstream::new("i-0")), requests)];
         dispatcher.set_peer_load(id::Node::new("m"), load, now);
         wanted.target_latency = target;
         choose(&mut dispatcher, &wanted, 1, now)
--- a/crates/steer/tests/retry.rs
+++ b/crates/steer/tests/retry.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use model::{bounds, discovery, id, route};
-use steer::dispatch::{dispatcher, give_up, retry};
+use steer::dispatch::{dispatcher, give_up, position, retry};
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -28,7 +28,7 @@
 
 /// Returns a dispatcher that knows `upstreams` idle ones.
 fn dispatcher(upstreams: u8, now: Instant) -> dispatcher::Dispatcher {
-    let position = dispatcher::Position {
+    let position = position::Position {
         node: id::Node::new("n"),
         region: id::Region::new("north"),
         halls: collections::BTreeMap::from([(id::Hall::new("n-1"), id::Region::new("north"))]),
