--- a/crates/node/tests/forms/api.rs
+++ b/crates/node/tests/forms/api.rs
@@ -134,11 +134,11 @@
 fn of_upstream() -> dump::Upstream {
     dump::Upstream {
         upstream: "catalogue/u-1".to_owned(),
-        home: Some("dakar-0#1".to_owned()),
+        owner: Some("dakar-0#1".to_owned()),
         slots: 1,
         usable: 2,
-        borrowed: 3,
-        lent: 4,
+        held: 3,
+        granted: 4,
         limit: 5,
         in_flight: 6,
         is_drained: true,
--- a/crates/node/tests/forms/datagrams.rs
+++ b/crates/node/tests/forms/datagrams.rs
@@ -8,7 +8,7 @@
 use node::gateway::member;
 use prost::Message as _;
 use standin::platform::upstream;
-use steer::dispatch::peers;
+use steer::dispatch::peer_load;
 use tokio::net::UdpSocket;
 use wire::gateway::{heartbeat, loads};
 
@@ -61,8 +61,8 @@
 
 /// The loads that nodes send in the tests below, with their fixtures.
 fn sent() -> Vec<(&'static str, loads::Loads)> {
-    let desk = peers::Key::of(&id::Upstream::new("i-0")).0;
-    let shelf = peers::Key::of(&id::Upstream::new("i-1")).0;
+    let desk = peer_load::Key::of(&id::Upstream::new("i-0")).0;
+    let shelf = peer_load::Key::of(&id::Upstream::new("i-1")).0;
     let loads = |node: &str, upstreams: &[u32], requests: &[u32]| loads::Loads {
         node: node.to_owned(),
         upstreams: upstreams.to_vec(),
@@ -85,7 +85,7 @@
         let read = loads::Loads::decode(&fixture::read(name)[1..]).expect("loads");
         assert_eq!(read, loads, "{name}");
     }
-    assert_eq!(peers::Key::of(&id::Upstream::new("i-0")).0, 0x_2649_f17b);
+    assert_eq!(peer_load::Key::of(&id::Upstream::new("i-0")).0, 0x_2649_f17b);
 }
 
 /// A stand-in of a gateway that takes what the real one sends.
--- a/crates/node/tests/forms/headers.rs
+++ b/crates/node/tests/forms/headers.rs
@@ -18,6 +18,7 @@
 use node::owner::callers::respond;
 use platform::field;
 use steer::dispatch::execution::{self, Execution};
+use steer::dispatch::give_up;
 
 use crate::fixture;
 
@@ -154,19 +155,22 @@
 
 #[tokio::test]
 async fn a_gateway_s_own_answers() {
-    let after = Duration::from_millis(1_234);
+    let retry_after = Duration::from_millis(1_234);
     let reasons = [
         Reason::NoConfiguration,
         Reason::NoRoute,
-        Reason::BadHead(head::Fault::Host.as_str()),
+        Reason::BadHead(head::Fault::Host),
         Reason::TooLarge,
         Reason::BodyCut,
         Reason::BodyLate,
-        Reason::NotRun("no-upstream", after),
-        Reason::TurnedAway(after),
-        Reason::Unknown("broken"),
-        Reason::TimedOut,
-        Reason::NotSent,
+        Reason::GivenUp(give_up::Reason::NoService),
+        Reason::GivenUp(give_up::Reason::NoUpstream),
+        Reason::GivenUp(give_up::Reason::Overloaded { retry_after }),
+        Reason::GivenUp(give_up::Reason::Unreachable),
+        Reason::GivenUp(give_up::Reason::TurnedAway),
+        Reason::GivenUp(give_up::Reason::MayHaveRun),
+        Reason::GivenUp(give_up::Reason::TimedOut),
+        Reason::GivenUp(give_up::Reason::NotSent),
     ];
     let mut written = String::new();
     for (name, dialect) in BOTH {
--- a/crates/node/tests/forms/messages.rs
+++ b/crates/node/tests/forms/messages.rs
@@ -10,11 +10,11 @@
 use model::member;
 use model::revision;
 use model::upstream;
-use node::owner::peers::carrier;
 use node::owner::peers::convert;
+use node::owner::peers::forwarder;
 use prost::Message;
 use steer::common::split;
-use steer::ownership::beat;
+use steer::ownership::heartbeat;
 use wire::peer;
 use wire::peer::peer_client::PeerClient;
 
@@ -25,8 +25,8 @@
     member::Key { node: id::Node::new(node), incarnation }
 }
 
-fn member() -> beat::Member {
-    beat::Member {
+fn member() -> heartbeat::Member {
+    heartbeat::Member {
         key: key("dakar-0", 0x_fedc_ba98_7654_3210),
         region: id::Region::new("dakar"),
         hall: id::Hall::new("dakar-1"),
@@ -41,8 +41,8 @@
     }
 }
 
-fn summary(node: &str) -> beat::Summary {
-    beat::Summary {
+fn summary(node: &str) -> heartbeat::Summary {
+    heartbeat::Summary {
         key: key(node, 5),
         region: id::Region::new("dakar"),
         service: id::Service::new("catalogue"),
@@ -54,44 +54,44 @@
     }
 }
 
-fn news() -> beat::News {
-    beat::News {
+fn update() -> heartbeat::Update {
+    heartbeat::Update {
         members: vec![member()],
-        pulses: vec![beat::Pulse { key: key("thies-0", 3), sequence: 77 }],
+        liveness: vec![heartbeat::Liveness { key: key("thies-0", 3), sequence: 77 }],
         summaries: vec![summary("dakar-0")],
         regions: vec![summary("thies-0")],
         tables: vec![sync::Arc::new(stored::table())],
     }
 }
 
-fn loan(slots: u32) -> beat::Loan {
+fn lease(slots: u32) -> heartbeat::Lease {
     let upstream = upstream::Key {
         service: id::Service::new("catalogue"),
         upstream: id::Upstream::new("u-1"),
     };
-    beat::Loan { upstream, slots, tail: Duration::from_millis(3_000) }
+    heartbeat::Lease { upstream, slots, tail: Duration::from_millis(3_000) }
 }
 
-fn request() -> beat::Request {
+fn request() -> heartbeat::Request {
     let region = |name, number| (id::Region::new(name), epoch::Epoch(number));
-    beat::Request {
+    heartbeat::Request {
         sender: member(),
-        news: news(),
+        update: update(),
         epochs: collections::BTreeMap::from([region("dakar", 12), region("thies", 4)]),
-        borrows: true,
-        held: vec![loan(2)],
+        wants_leases: true,
+        held: vec![lease(2)],
         wants_positions: true,
     }
 }
 
-fn reply() -> beat::Reply {
+fn reply() -> heartbeat::Reply {
     let parts = [(id::Region::new("dakar"), 750_000), (id::Region::new("thies"), 250_000)];
-    beat::Reply {
+    heartbeat::Reply {
         sender: member(),
-        news: news(),
-        loans: vec![loan(3)],
+        update: update(),
+        leases: vec![lease(3)],
         term: Duration::from_millis(1_200),
-        positions: vec![beat::Position {
+        positions: vec![heartbeat::Position {
             service: id::Service::new("catalogue"),
             place: id::Place::new("coast"),
             split: split::Split::from_parts(collections::BTreeMap::from(parts)),
@@ -101,9 +101,9 @@
 
 #[test]
 fn the_two_halves_of_a_beat() {
-    fixture::assert_is("beat-request.bin", &convert::beat_out(request()).encode_to_vec());
+    fixture::assert_is("beat-request.bin", &convert::request_out(request()).encode_to_vec());
     let read = peer::BeatRequest::decode(fixture::read("beat-request.bin").as_slice());
-    assert_eq!(convert::beat_in(read.expect("a beat")), Some(request()));
+    assert_eq!(convert::request_in(read.expect("a beat")), Some(request()));
     fixture::assert_is("beat-reply.bin", &convert::reply_out(reply()).encode_to_vec());
     let read = peer::BeatReply::decode(fixture::read("beat-reply.bin").as_slice());
     assert_eq!(convert::reply_in(read.expect("a reply")), Some(reply()));
@@ -139,7 +139,7 @@
 }
 
 fn usage() -> peer::Usage {
-    let usage = beat::Use { busy: 3, usable: 8 };
+    let usage = heartbeat::Usage { busy: 3, usable: 8 };
     assert_eq!(convert::usage_in(convert::usage_out(usage)), usage);
     convert::usage_out(usage)
 }
@@ -184,9 +184,9 @@
 
 #[test]
 fn headers_in_messages() {
-    let map = carrier::headers(&headers());
+    let map = forwarder::headers(&headers());
     assert_eq!(map["x-raw"].as_bytes(), b"\xff\x80");
-    assert_eq!(carrier::header_list(&map), headers());
+    assert_eq!(forwarder::header_list(&map), headers());
 }
 
 /// Fails unless the messages, each after its length, are the fixture in both directions.
