--- a/crates/node/src/owner/callers/entry.rs
+++ b/crates/node/src/owner/callers/entry.rs
@@ -16,8 +16,10 @@
 
 use crate::common::body;
 use crate::owner::answer;
+use crate::owner::event_loop::message;
 use crate::owner::failed;
 use crate::owner::handle;
+use crate::owner::handle::routed;
 use crate::owner::peers::forwarder;
 use crate::owner::runner;
 
@@ -64,7 +66,7 @@
         loop {
             let view = self.handle.view();
             let (owner, peers, duty) = match decision {
-                handle::Decision::Forward { region, owner, peers, may_wait } => {
+                message::Decision::Forward { region, owner, peers, may_wait } => {
                     order.may_wait = may_wait;
                     let duty = match region == view.region {
                         true => peer::Duty::Home,
@@ -72,8 +74,8 @@
                     };
                     (owner, peers, duty)
                 }
-                handle::Decision::Refuse(failure) => return Err(failure),
-                handle::Decision::Run { .. } => {
+                message::Decision::Refuse(failure) => return Err(failure),
+                message::Decision::Run { .. } => {
                     return Err(verdict::Failure::not_run(verdict::Reason::NotReady));
                 }
             };
@@ -236,7 +238,7 @@
 }
 
 /// Counts the request as out at its owner until its answer has passed.
-fn with_routed(answer: Response<body::Body>, routed: handle::Routed) -> Response<body::Body> {
+fn with_routed(answer: Response<body::Body>, routed: routed::Routed) -> Response<body::Body> {
     answer.map(|body| {
         let held = body.map_frame(move |frame| {
             let _ = &routed;
--- a/crates/node/src/owner/event_loop.rs
+++ b/crates/node/src/owner/event_loop/mod.rs
@@ -1,4 +1,11 @@
-//! The deciding thread's loop: events in, actions out.
+//! The event loop: one thread owns all of a node's decisions; events in, actions out.
+//!
+//! Owns the core, the tickets and the asks that wait for a decision. Relies on the rings that it is given;
+//! other threads reach it through a handle.
+
+pub mod message;
+pub mod outputs;
+mod publication;
 
 use std::collections;
 use std::sync;
@@ -18,20 +25,16 @@
 use tokio::sync::oneshot;
 
 use crate::owner::answer;
-use crate::owner::handle;
 use crate::owner::view;
 
-/// Time between two ticks: the grain of waits and holds.
+/// Time between two ticks: the grain of waits and leases. Not measured.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Nodes of a region, first by name, that watch the store for it.
-const WATCHERS: usize = 2;
-
-/// All that one node decides with.
+/// The state of the loop.
 #[derive(Debug)]
 pub struct EventLoop {
     core: core::Core,
-    outputs: handle::Outputs,
+    outputs: outputs::Outputs,
     clock: sync::Arc<dyn clock::Clock>,
     tickets: ticket::Table<answer::Answer>,
     waiting: collections::HashMap<request::Id, Waiting>,
@@ -41,34 +44,19 @@
     ticked: Instant,
 }
 
-/// Whoever asked, and for which service's slots here, if for any.
+/// An ask that waits for its decision, and the service whose slots here it is for, if any.
 #[derive(Debug)]
 struct Waiting {
-    reply: oneshot::Sender<(handle::Decision, heartbeat::Usage)>,
+    reply: oneshot::Sender<message::Answer>,
     offered: Option<id::Service>,
 }
 
-/// The state that a look sees.
-#[derive(Debug)]
-pub struct State<'a> {
-    /// The decisions.
-    pub core: &'a core::Core,
-    /// Tickets in use.
-    pub tickets: usize,
-    /// Asks that wait for their decision.
-    pub waiting: usize,
-    /// Heartbeats and proposals that were dropped because a ring was full.
-    pub dropped: u64,
-    /// The time.
-    pub now: Instant,
-}
-
 impl EventLoop {
-    /// Makes the loop's state.
+    /// Makes the loop of a node that starts.
     #[must_use]
     pub fn new(
         core: core::Core,
-        outputs: handle::Outputs,
+        outputs: outputs::Outputs,
         clock: sync::Arc<dyn clock::Clock>,
         tickets: ticket::Table<answer::Answer>,
     ) -> Self {
@@ -89,8 +77,8 @@
     /// Runs until stopped. Releases go before asks, so that freed slots are known first.
     pub(crate) fn run(
         &mut self,
-        asks: &ring::Receiver<handle::Message>,
-        releases: &ring::Receiver<handle::Message>,
+        asks: &ring::Receiver<message::Message>,
+        releases: &ring::Receiver<message::Message>,
         stop: &ring::Receiver<()>,
     ) {
         loop {
@@ -123,11 +111,11 @@
         self.publish(now);
     }
 
-    fn take(&mut self, message: handle::Message) {
+    fn take(&mut self, message: message::Message) {
         let now = self.clock.now();
         match message {
-            handle::Message::Event(event) => self.handle(event, now, None),
-            handle::Message::Ask(event, id, reply) => {
+            message::Message::Event(event) => self.handle(event, now, None),
+            message::Message::Ask { event, request: id, reply } => {
                 let offered = match &event {
                     event::Event::Offer { offer } => Some(offer.service.clone()),
                     _ => None,
@@ -135,14 +123,15 @@
                 self.waiting.insert(id, Waiting { reply, offered });
                 self.handle(event, now, None);
             }
-            handle::Message::Heartbeat(heartbeat, reply) => {
+            message::Message::Heartbeat { heartbeat, reply } => {
                 self.handle(event::Event::Heartbeat { heartbeat }, now, Some(reply));
             }
-            handle::Message::Claim(ticket, reply) => {
+            message::Message::Claim { ticket, reply } => {
+                // An exchange that ended meanwhile leaves its ticket claimed: it may have run.
                 let _ = reply.send(self.tickets.claim(&ticket, now));
             }
-            handle::Message::Finish(ticket, outcome) => self.tickets.finish(&ticket, outcome),
-            handle::Message::Look(look) => look(&State {
+            message::Message::Finish { ticket, outcome } => self.tickets.finish(&ticket, outcome),
+            message::Message::Look(look) => look(&message::State {
                 core: &self.core,
                 tickets: self.tickets.len(),
                 waiting: self.waiting.len(),
@@ -183,9 +172,9 @@
     ) {
         match action {
             action::Action::Heartbeat { to, node, heartbeat } => {
-                self.send(handle::Outgoing::Heartbeat { to, node, heartbeat, made: now });
+                self.send(outputs::Outgoing::Heartbeat { to, node, heartbeat, made: now });
             }
-            action::Action::Fetch { from } => self.send(handle::Outgoing::Fetch { from }),
+            action::Action::Fetch { from } => self.send(outputs::Outgoing::Fetch { from }),
             action::Action::Propose { table } => {
                 if self.outputs.tables.try_send(table).is_err() {
                     self.dropped += 1;
@@ -193,6 +182,7 @@
             }
             action::Action::Reply { reply: answer } => {
                 if let Some(reply) = reply.take() {
+                    // Without a receiver the peer is gone, and asks again with its next heartbeat.
                     let _ = reply.send(*answer);
                 }
             }
@@ -200,100 +190,29 @@
         }
     }
 
-    /// Hands a decision to whoever asked; one that nobody waits for any more is taken back.
+    /// Answers the ask of a decision; one that nobody waits for any more is undone.
     fn decide(&mut self, action: action::Action, now: Instant) {
-        let Some((id, decision)) = handle::decision(action) else { return };
-        let unheard = match self.waiting.remove(&id) {
+        let Some((id, decision)) = message::decision(action) else { return };
+        let unclaimed = match self.waiting.remove(&id) {
             Some(Waiting { reply, offered }) => {
                 let usage = offered.map(|service| self.core.owner.usage(&service, now));
-                reply.send((decision, usage.unwrap_or_default())).err().map(|(d, _)| d)
+                let answer = message::Answer { decision, usage: usage.unwrap_or_default() };
+                reply.send(answer).err().map(|answer| answer.decision)
             }
             None => Some(decision),
         };
-        // Whoever asked gave up, and what it gave back may have come before its ask.
-        let undo = match unheard {
-            Some(handle::Decision::Run { .. }) => event::Event::Withdraw { request: id },
-            Some(handle::Decision::Forward { .. }) => event::Event::Returned { request: id },
-            Some(handle::Decision::Refuse(_)) | None => return,
+        // The ask was given up, and its release may have arrived before it.
+        let undo = match unclaimed {
+            Some(message::Decision::Run { .. }) => event::Event::Withdraw { request: id },
+            Some(message::Decision::Forward { .. }) => event::Event::Returned { request: id },
+            Some(message::Decision::Refuse(_)) | None => return,
         };
         self.handle(undo, now, None);
     }
 
-    fn send(&mut self, outgoing: handle::Outgoing) {
+    fn send(&mut self, outgoing: outputs::Outgoing) {
         if self.outputs.peers.try_send(outgoing).is_err() {
             self.dropped += 1;
         }
     }
-
-    fn publish(&mut self, now: Instant) {
-        let core = &self.core;
-        if self.config.revision() < core.snapshot.revision {
-            let snapshot = sync::Arc::clone(&core.snapshot);
-            self.config = sync::Arc::new(view::Config::new(snapshot));
-        }
-        self.log_changes(now);
-        let core = &self.core;
-        let view = view::View {
-            me: core.me.key.clone(),
-            region: core.me.region.clone(),
-            is_ready: core.is_ready(now),
-            is_leaving: core.me.is_leaving,
-            is_done: core.is_done(),
-            config: sync::Arc::clone(&self.config),
-            nodes: nodes(core, now),
-            lagging: core.lagging(core.snapshot.revision, now),
-            in_use: core.in_use(now),
-            is_watcher: is_watcher(core, now),
-        };
-        self.outputs.view.send_replace(sync::Arc::new(view));
-    }
-
-    fn log_changes(&mut self, now: Instant) {
-        let me = &self.core.me;
-        let current = (me.revision, me.epoch, self.core.is_ready(now));
-        if current.0 != self.logged.0 {
-            log::info!(node = me.key.node.as_str(), revision = current.0.0; "config-adopted");
-        }
-        if current.1 != self.logged.1 {
-            let region = me.region.as_str();
-            let seats = self.core.tables.get(&me.region).map_or(0, |t| t.listed.len());
-            log::info!(
-                node = me.key.node.as_str(), region, epoch = current.1.0, seats;
-                "table-adopted"
-            );
-        }
-        if current.2 != self.logged.2 {
-            log::info!(node = me.key.node.as_str(), ready = current.2; "ready-changed");
-        }
-        self.logged = current;
-    }
-}
-
-/// Returns the nodes that are known, by region.
-fn nodes(
-    core: &core::Core,
-    now: Instant,
-) -> collections::BTreeMap<model::id::Region, Vec<view::Node>> {
-    let mut nodes: collections::BTreeMap<_, Vec<view::Node>> = collections::BTreeMap::new();
-    let others = core.members.iter().filter(|k| k.member.key.node != core.me.key.node);
-    let others = others.map(|k| (&k.member, k.is_alive(now)));
-    for (member, is_alive) in others.chain([(&core.me, true)]) {
-        nodes.entry(member.region.clone()).or_default().push(view::Node {
-            key: member.key.clone(),
-            callers: member.callers,
-            peers: member.peers,
-            is_alive,
-            is_leaving: member.is_leaving,
-        });
-    }
-    for of_region in nodes.values_mut() {
-        of_region.sort_by(|a, b| a.key.cmp(&b.key));
-    }
-    nodes
-}
-
-fn is_watcher(core: &core::Core, now: Instant) -> bool {
-    let others = core.members.alive(now).map(|k| &k.member);
-    let before = others.filter(|m| m.region == core.me.region && m.key < core.me.key);
-    before.count() < WATCHERS
 }
--- a/crates/node/src/owner/node.rs
+++ b/crates/node/src/owner/node.rs
@@ -17,7 +17,9 @@
 
 use crate::common::store::client;
 use crate::owner::callers;
+use crate::owner::event_loop::outputs;
 use crate::owner::handle;
+use crate::owner::handle::start;
 use crate::owner::io_thread;
 use crate::owner::operators;
 use crate::owner::peers;
@@ -50,7 +52,7 @@
     stop_callers: watch::Sender<bool>,
     limits: settings::Limits,
     threads: Vec<io_thread::IoThread>,
-    thread: handle::Thread,
+    thread: start::Thread,
 }
 
 impl Node {
@@ -76,8 +78,8 @@
         let (tables, to_write) = mpsc::channel(TABLES);
         let (writes, to_apply) = mpsc::channel(WRITES);
         let core = core::Core::new(me, settings.seeds.clone(), clock.now(), clock.wall());
-        let outputs = handle::Outputs { peers: outgoing, tables, view };
-        let (handle, thread) = handle::start(core, outputs, clock, settings.limits.requests)?;
+        let outputs = outputs::Outputs { peers: outgoing, tables, view };
+        let (handle, thread) = start::start(core, outputs, clock, settings.limits.requests)?;
         let stats = sync::Arc::new(stats::Stats::new());
         let calls = sync::Arc::new(client::Calls::default());
         let (stop_callers, stopped) = watch::channel(false);
@@ -103,7 +105,7 @@
     /// Returns how long it took, and whether everything had ended in time.
     pub async fn stop(mut self) -> (Duration, bool) {
         let began = Instant::now();
-        let _ = self.handle.tell(event::Event::Stop);
+        self.handle.send(event::Event::Stop);
         // Callers may use a look-up for this long, so their new requests are still served.
         tokio::time::sleep(self.limits.lookup_cache).await;
         let _ = self.stop_callers.send(true);
@@ -185,7 +187,7 @@
 fn start_peers(
     handle: &handle::Handle,
     listener: std::net::TcpListener,
-    to_send: mpsc::Receiver<handle::Outgoing>,
+    to_send: mpsc::Receiver<outputs::Outgoing>,
 ) -> io::Result<io_thread::IoThread> {
     let handle = handle.clone();
     io_thread::IoThread::start("peers", move || async move {
--- a/crates/node/src/owner/operators/dump.rs
+++ b/crates/node/src/owner/operators/dump.rs
@@ -7,7 +7,8 @@
 use serde::Serialize;
 
 use crate::common::store::client;
-use crate::owner::event_loop;
+use crate::owner::event_loop::message;
+use crate::owner::handle;
 use crate::owner::stats;
 
 /// The state of a node.
@@ -152,8 +153,8 @@
     /// Makes the dump of a state.
     #[must_use]
     pub fn new(
-        state: &event_loop::State<'_>,
-        pressure: (usize, usize, u64),
+        state: &message::State<'_>,
+        pressure: handle::Pressure,
         store: client::Counts,
         callers: stats::Figures,
     ) -> Self {
@@ -183,9 +184,9 @@
                 at_home: core.owner.load(),
                 undecided: state.waiting,
                 tickets: state.tickets,
-                asks: pressure.0,
-                releases: pressure.1,
-                refused: pressure.2,
+                asks: pressure.asks,
+                releases: pressure.releases,
+                refused: pressure.refused,
                 dropped: state.dropped,
             },
             store,
--- a/crates/node/src/owner/peers/heartbeats.rs
+++ b/crates/node/src/owner/peers/heartbeats.rs
@@ -13,6 +13,7 @@
 use tokio::sync::{Semaphore, mpsc};
 use wire::peer;
 
+use crate::owner::event_loop::outputs;
 use crate::owner::handle;
 use crate::owner::peers::connections;
 use crate::owner::peers::convert;
@@ -28,7 +29,7 @@
 const CALLS: usize = 64;
 
 /// Sends what the decisions ask for until their ring closes.
-pub async fn run(handle: handle::Handle, mut outgoing: mpsc::Receiver<handle::Outgoing>) {
+pub async fn run(handle: handle::Handle, mut outgoing: mpsc::Receiver<outputs::Outgoing>) {
     let connections = connections::Connections::default();
     let calls = sync::Arc::new(Semaphore::new(CALLS));
     while let Some(next) = outgoing.recv().await {
@@ -36,10 +37,10 @@
         let (handle, connections) = (handle.clone(), connections.clone());
         tokio::spawn(async move {
             match next {
-                handle::Outgoing::Heartbeat { to, node, heartbeat, made } => {
+                outputs::Outgoing::Heartbeat { to, node, heartbeat, made } => {
                     send(&handle, &connections, to, node, *heartbeat, made).await;
                 }
-                handle::Outgoing::Fetch { from } => fetch(&handle, &connections, from).await,
+                outputs::Outgoing::Fetch { from } => fetch(&handle, &connections, from).await,
             }
             drop(permit);
         });
@@ -68,7 +69,7 @@
         }
         (None, None) => return connections.forget(to),
     };
-    let _ = handle.tell(event);
+    handle.send(event);
 }
 
 async fn fetch(
@@ -84,6 +85,6 @@
         serde_json::from_slice(&reply.into_inner().document).ok()
     };
     if let Ok(Some(snapshot)) = tokio::time::timeout(FETCH_TIME, call).await {
-        let _ = handle.tell(event::Event::Configure { snapshot: sync::Arc::new(snapshot) });
+        handle.send(event::Event::Configure { snapshot: sync::Arc::new(snapshot) });
     }
 }
--- a/crates/node/src/owner/probes.rs
+++ b/crates/node/src/owner/probes.rs
@@ -50,7 +50,7 @@
             tokio::spawn(async move {
                 let probe = tokio::time::timeout(PROBE_TIME, probe(&http, address, &path));
                 let report = probe.await.ok().flatten();
-                let _ = handle.tell(event::Event::Probed { upstream, report });
+                handle.send(event::Event::Probed { upstream, report });
                 drop(permit);
             });
         }
--- a/crates/node/src/owner/runner.rs
+++ b/crates/node/src/owner/runner.rs
@@ -25,8 +25,10 @@
 
 use crate::common::body;
 use crate::common::head;
+use crate::owner::event_loop::message;
 use crate::owner::failed;
 use crate::owner::handle;
+use crate::owner::handle::offered;
 
 /// Time to make a connection to an upstream.
 const CONNECT_TIME: Duration = Duration::from_secs(1);
@@ -73,7 +75,7 @@
     /// How much of its slots the service uses here.
     pub usage: heartbeat::Usage,
     address: std::net::SocketAddr,
-    offered: handle::Offered,
+    offered: offered::Offered,
 }
 
 impl Runner {
@@ -105,15 +107,16 @@
             avoid: order.avoid.clone(),
             may_wait: order.may_wait,
         };
-        let (offered, decision, usage) = self.handle.offer(offer).await;
+        let (offered, answer) = self.handle.offer(offer).await;
+        let message::Answer { decision, usage } = answer;
         match decision {
-            handle::Decision::Run { upstream, address } => {
+            message::Decision::Run { upstream, address } => {
                 Ok(Slot { upstream, usage, address, offered })
             }
-            handle::Decision::Refuse(failure) => {
+            message::Decision::Refuse(failure) => {
                 Err(failed::Failed { usage: Some(usage), ..failed::Failed::before(failure) })
             }
-            handle::Decision::Forward { .. } => {
+            message::Decision::Forward { .. } => {
                 Err(failed::Failed::before(verdict::Failure::not_run(verdict::Reason::NotHome)))
             }
         }
@@ -193,7 +196,7 @@
 /// An answer's body that holds its slot until it ends.
 struct Guarded {
     inner: hyper::body::Incoming,
-    offered: Option<handle::Offered>,
+    offered: Option<offered::Offered>,
     deadline: Pin<Box<tokio::time::Sleep>>,
 }
 
--- a/crates/node/src/owner/store/follower.rs
+++ b/crates/node/src/owner/store/follower.rs
@@ -73,7 +73,7 @@
         self.follow(accept::KEY, |value| match value.map(accept::parse) {
             Some(Some(standing)) => {
                 let event = event::Event::Configure { snapshot: standing.snapshot };
-                let _ = self.handle.tell(event);
+                self.handle.send(event);
             }
             Some(None) => log::error!(key = accept::KEY; "store-value-malformed"),
             None => {}
@@ -150,7 +150,7 @@
             };
             let (outcome, snapshot) = accept::apply(&*self.store, &write.change, &facts).await;
             if let Some(snapshot) = snapshot {
-                let _ = self.handle.tell(event::Event::Configure { snapshot });
+                self.handle.send(event::Event::Configure { snapshot });
             }
             log_outcome(&write.change, &outcome);
             let _ = write.reply.send(outcome);
@@ -158,7 +158,7 @@
     }
 
     fn apply_table(&self, table: sync::Arc<table::Table>) {
-        let _ = self.handle.tell(event::Event::Adopt { table, is_stored: true });
+        self.handle.send(event::Event::Adopt { table, is_stored: true });
     }
 
     async fn rest(&self, pause: &mut Duration, key: &str) {
--- a/crates/node/src/owner/store/vmlist.rs
+++ b/crates/node/src/owner/store/vmlist.rs
@@ -34,7 +34,7 @@
         match list {
             Some(list) if list != last => {
                 last = list.clone();
-                let _ = handle.tell(event::Event::Vms { list });
+                handle.send(event::Event::Vms { list });
             }
             // The same list, or one that cannot be read: the last one stays in force.
             _ => {}
