--- a/crates/node/src/owner/callers/entry.rs
+++ b/crates/node/src/owner/callers/entry/tickets.rs
@@ -1,106 +1,26 @@
-//! Entry of a request: from the caller's node to the owner that runs it, with retries.
+//! Requests under a ticket, which run at most once.
 //!
-//! Owns the loop over tries and the tickets' way. Relies on the decisions for every choice.
+//! Owns the way to the node that issued the ticket, and what is remembered of an answer. Relies on
+//! [`ticket::Table`] for the claim.
 
 use std::sync;
 use std::time::Duration;
 
 use bytes::Bytes;
 use http::Response;
-use http_body_util::BodyExt as _;
-use model::id;
 use model::verdict;
-use steer::ownership::heartbeat;
 use steer::ownership::ticket;
 use wire::peer;
 
+use super::{Entry, head_of};
 use crate::common::body;
 use crate::owner::answer;
-use crate::owner::event_loop::message;
-use crate::owner::failed;
-use crate::owner::handle;
-use crate::owner::handle::routed;
-use crate::owner::peers::forwarder;
 use crate::owner::runner;
 
 /// `Retry-After` for a ticket whose request is running. Not measured.
 const RUNNING_RETRY: Duration = Duration::from_secs(1);
 
-/// What entering needs; each duty that enters requests has its own connections.
-#[derive(Clone, Debug)]
-pub struct Entry {
-    handle: handle::Handle,
-    runner: runner::Runner,
-    forwarder: forwarder::Forwarder,
-}
-
 impl Entry {
-    /// Makes an entry without connections.
-    #[must_use]
-    pub fn new(
-        handle: handle::Handle,
-        runner: runner::Runner,
-        forwarder: forwarder::Forwarder,
-    ) -> Self {
-        Self { handle, runner, forwarder }
-    }
-
-    /// Sends a request to the owner that the decisions choose, and retries while they allow it.
-    ///
-    /// The owner is in `region` when that was chosen already.
-    ///
-    /// # Errors
-    ///
-    /// Fails with the last try's verdict.
-    pub async fn enter(
-        &self,
-        mut order: runner::Order,
-        mut source: body::Source,
-        region: Option<id::Region>,
-    ) -> Result<Response<body::Body>, verdict::Failure> {
-        let repetition = order.service.repetition(order.method.as_str(), &order.path);
-        let name = order.service.name.clone();
-        let place = order.place.clone();
-        let (routed, mut decision) = self.handle.route(name, place, region).await;
-        let mut so_far = verdict::Verdict::NotRun;
-        loop {
-            let view = self.handle.view();
-            let (owner, peers, duty) = match decision {
-                message::Decision::Forward { region, owner, peers, may_wait } => {
-                    order.may_wait = may_wait;
-                    let duty = match region == view.region {
-                        true => peer::Duty::Home,
-                        false => peer::Duty::Region,
-                    };
-                    (owner, peers, duty)
-                }
-                message::Decision::Refuse(failure) => return Err(failure),
-                message::Decision::Run { .. } => {
-                    return Err(verdict::Failure::not_run(verdict::Reason::NotReady));
-                }
-            };
-            let report = |usage| self.handle.used(&owner.node, &order.service.name, usage);
-            let result = match owner == view.me {
-                true => self.run_here(&order, &mut source, report).await,
-                false => {
-                    let head = head_of(&order, duty, &self.handle);
-                    self.forwarder.forward(peers, head, &mut source, report).await
-                }
-            };
-            let failed = match result {
-                Ok(answer) => return Ok(with_routed(answer, routed)),
-                Err(failed) => failed,
-            };
-            order.avoid.extend(failed.upstream);
-            let failure = failed.failure.after_tries(so_far);
-            so_far = failure.verdict;
-            if !source.is_ready() || order.deadline <= self.handle.now() {
-                return Err(failure);
-            }
-            decision = routed.failed(failed.failure, repetition).await;
-        }
-    }
-
     /// Enters a request under a ticket, wherever it was issued.
     ///
     /// # Errors
@@ -207,45 +127,6 @@
         self.handle.finish(ticket, outcome);
         Ok(replay(&answer))
     }
-
-    async fn run_here(
-        &self,
-        order: &runner::Order,
-        source: &mut body::Source,
-        report: impl Fn(heartbeat::Usage),
-    ) -> Result<Response<body::Body>, failed::Failed> {
-        let slot = self.runner.reserve(order).await.inspect_err(|failed| {
-            failed.usage.into_iter().for_each(&report);
-        })?;
-        report(slot.usage);
-        self.runner.run(slot, order, source.take()).await
-    }
-}
-
-fn head_of(order: &runner::Order, duty: peer::Duty, handle: &handle::Handle) -> peer::RequestHead {
-    peer::RequestHead {
-        duty: duty.into(),
-        service: order.service.name.as_str().to_owned(),
-        method: order.method.as_str().to_owned(),
-        path: order.path.clone(),
-        headers: forwarder::header_list(&order.headers),
-        remaining_ms: forwarder::remaining_ms(order.deadline, handle.now()),
-        place: order.place.as_str().to_owned(),
-        avoid: order.avoid.iter().map(|u| u.as_str().to_owned()).collect(),
-        ticket: String::new(),
-        may_wait: order.may_wait,
-    }
-}
-
-/// Counts the request as out at its owner until its answer has passed.
-fn with_routed(answer: Response<body::Body>, routed: routed::Routed) -> Response<body::Body> {
-    answer.map(|body| {
-        let held = body.map_frame(move |frame| {
-            let _ = &routed;
-            frame
-        });
-        held.boxed_unsync()
-    })
 }
 
 fn remembered(
--- a/crates/node/src/owner/callers/server.rs
+++ b/crates/node/src/owner/callers/server.rs
@@ -32,13 +32,13 @@
 use crate::owner::settings;
 use crate::owner::stats;
 
-/// Requests that one HTTP/2 connection may have open.
+/// Requests that one HTTP/2 connection may have open. Not measured.
 const STREAMS: u32 = 256;
 
-/// Longest path with its query, in bytes.
+/// Longest path with its query, in bytes. Not measured.
 const LONGEST_PATH: usize = 8 * 1_024;
 
-/// Pause after a failure to accept, such as too many open files.
+/// Pause after a failure to accept, such as too many open files. Not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// The callers' server.
@@ -87,6 +87,7 @@
     peer: net::SocketAddr,
     connections: &graceful::GracefulShutdown,
 ) -> impl Future<Output = ()> + use<> {
+    // Without it small answers are only slower.
     let _ = stream.set_nodelay(true);
     let server = sync::Arc::clone(server);
     let mut builder = auto::Builder::new(rt::TokioExecutor::new());
--- a/crates/node/src/owner/node.rs
+++ b/crates/node/src/owner/node.rs
@@ -1,4 +1,7 @@
 //! A node: its threads, started together and stopped together.
+//!
+//! Owns the threads, the rings between them and the planned stop. Relies on each thread's module for its
+//! work.
 
 use std::io;
 use std::net;
@@ -31,16 +34,16 @@
 use crate::owner::store::vmlist;
 use crate::owner::view;
 
-/// Heartbeats and fetches that wait for the peers' duty.
+/// Heartbeats and fetches that wait for the peers' thread. Not measured.
 const OUTGOING: usize = 256;
 
-/// Tables that wait for the store's duty.
+/// Tables that wait for the store's thread. Not measured; they are proposed again.
 const TABLES: usize = 4;
 
-/// Operators' changes that wait for the store's duty.
+/// Operators' changes that wait for the store's thread. Not measured.
 const WRITES: usize = 64;
 
-/// Time between two looks at whether a stopping node is done.
+/// Time between two checks whether a stopping node is done. Not measured.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
 
 /// A running node.
@@ -56,7 +59,7 @@
 }
 
 impl Node {
-    /// Starts a node. Faces with port 0 get a free port, which [`Node::listen`] then tells.
+    /// Starts a node. Listeners with port 0 get a free port, which [`Node::listen`] then holds.
     ///
     /// # Errors
     ///
@@ -108,6 +111,7 @@
         self.handle.send(event::Event::Stop);
         // Callers may use a look-up for this long, so their new requests are still served.
         tokio::time::sleep(self.limits.lookup_cache).await;
+        // Without a receiver the callers' server has ended already.
         let _ = self.stop_callers.send(true);
         let is_done = loop {
             if self.handle.view().is_done {
@@ -130,8 +134,8 @@
     }
 
     fn end(&mut self) {
-        for duty in &mut self.threads {
-            duty.stop();
+        for thread in &mut self.threads {
+            thread.stop();
         }
         self.thread.stop();
     }
@@ -177,8 +181,8 @@
     io_thread::IoThread::start("callers", move || async move {
         let Ok(listener) = TcpListener::from_std(listener) else { return };
         let entry = entry(&handle);
-        let face = callers::server::Server { handle, entry, limits, stats };
-        callers::server::serve(face, listener, stopped).await;
+        let server = callers::server::Server { handle, entry, limits, stats };
+        callers::server::serve(server, listener, stopped).await;
         // Streams that the graceful end waits for no longer still run here until the node ends.
         std::future::pending::<()>().await;
     })
@@ -192,12 +196,12 @@
     let handle = handle.clone();
     io_thread::IoThread::start("peers", move || async move {
         let Ok(listener) = TcpListener::from_std(listener) else { return };
-        let face = peers::server::Server {
+        let server = peers::server::Server {
             runner: runner::Runner::new(handle.clone()),
             entry: entry(&handle),
             handle: handle.clone(),
         };
-        let serve = peers::server::serve(face, listener);
+        let serve = peers::server::serve(server, listener);
         let send = peers::heartbeats::run(handle, to_send);
         let (served, ()) = tokio::join!(serve, send);
         if let Err(error) = served {
@@ -245,10 +249,11 @@
     listener: std::net::TcpListener,
 ) -> io::Result<io_thread::IoThread> {
     let access = operators::access::Access::new(&settings.operators);
-    let face = operators::api::Context { handle: handle.clone(), writes, access, calls, stats };
+    let context = operators::api::Context { handle: handle.clone(), writes, access, calls, stats };
     io_thread::IoThread::start("operators", move || async move {
         let Ok(listener) = TcpListener::from_std(listener) else { return };
-        let _ = axum::serve(listener, operators::api::router(face)).await;
+        // It serves until the thread is stopped and never returns an error.
+        let _ = axum::serve(listener, operators::api::router(context)).await;
     })
 }
 
--- a/crates/node/src/owner/operators/api.rs
+++ b/crates/node/src/owner/operators/api.rs
@@ -229,6 +229,7 @@
 async fn await_revision(context: &Context, revision: revision::Revision) {
     let mut views = context.handle.views();
     let seen = views.wait_for(|view| view.config.revision() >= revision);
+    // When it takes longer, the operator reads an older state for a moment.
     let _ = tokio::time::timeout(READ_WRITTEN, seen).await;
 }
 
--- a/crates/node/src/owner/peers/forwarder.rs
+++ b/crates/node/src/owner/peers/forwarder.rs
@@ -22,13 +22,14 @@
 use crate::owner::peers::connections;
 use crate::owner::peers::convert;
 
-/// Parts of a body that wait to be sent.
+/// Parts of a body that wait to be sent. Not measured.
 const PARTS: usize = 8;
 
-/// Largest part of a body in one message, in bytes.
+/// Largest part of a body in one message, in bytes. Not measured.
 pub const LARGEST_PART: usize = 256 * 1_024;
 
-/// Time beyond a request's deadline in which its owner's own verdict may still arrive.
+/// Time beyond a request's deadline in which its owner's own verdict may still arrive. Not
+/// measured; the grace of a cancellation.
 const VERDICT_GRACE: Duration = Duration::from_millis(250);
 
 /// Forwards requests to other nodes.
@@ -75,36 +76,15 @@
         source: &mut body::Source,
         report: impl Fn(heartbeat::Usage),
     ) -> Result<Response<body::Body>, failed::Failed> {
-        let Ok(mut client) = self.connections.client(address).await else {
-            return Err(unreached());
-        };
-        let (parts, upload) = mpsc::channel(PARTS);
         let kept = match &*source {
             body::Source::Kept(bytes) => Some(bytes.clone()),
             body::Source::Streamed(_) | body::Source::Spent => None,
         };
-        let is_kept = kept.is_some();
-        send_first(&parts, head, kept).await;
-        // A buffered body ends here, so that the upload is closed cleanly and not reset afterwards.
-        let mut parts = (!is_kept).then_some(parts);
-        let mut download = match client.carry(ReceiverStream::new(upload)).await {
-            Ok(answer) => answer.into_inner(),
-            Err(status) if connections::was_never_sent(&status) => {
-                self.connections.forget(address);
-                return Err(unreached());
-            }
-            Err(status) => {
-                let (peer, error) = (address.to_string(), status.to_string());
-                log::warn!(peer = peer.as_str(), error = error.as_str(); "peer-broke-off");
-                return Err(broken(None));
-            }
-        };
+        let (mut parts, mut download) = self.open(address, head, kept).await?;
         let mut upstream = None;
         loop {
-            let message = download.message().await.inspect_err(|status| {
-                let (peer, error) = (address.to_string(), status.to_string());
-                log::warn!(peer = peer.as_str(), error = error.as_str(); "peer-broke-off");
-            });
+            let message =
+                download.message().await.inspect_err(|status| log_broken(address, status));
             let part = message.ok().flatten().and_then(|download| download.part);
             match part {
                 Some(peer::download::Part::Go(go)) => {
@@ -130,9 +110,46 @@
             }
         }
     }
+
+    /// Starts an exchange. Returns the upload, unless the buffered body `kept` is
+    /// sent with the head, and the download.
+    async fn open(
+        &self,
+        address: net::SocketAddr,
+        head: peer::RequestHead,
+        kept: Option<Bytes>,
+    ) -> Result<(Option<Upload>, tonic::Streaming<peer::Download>), failed::Failed> {
+        let Ok(mut client) = self.connections.client(address).await else {
+            return Err(unreached());
+        };
+        let (parts, upload) = mpsc::channel(PARTS);
+        let is_kept = kept.is_some();
+        send_first(&parts, head, kept).await;
+        // A buffered body ends here, so that the upload is closed cleanly and not reset afterwards.
+        let parts = (!is_kept).then_some(parts);
+        match client.carry(ReceiverStream::new(upload)).await {
+            Ok(answer) => Ok((parts, answer.into_inner())),
+            Err(status) if connections::was_never_sent(&status) => {
+                self.connections.forget(address);
+                Err(unreached())
+            }
+            Err(status) => {
+                log_broken(address, &status);
+                Err(broken(None))
+            }
+        }
+    }
+}
+
+/// The upload of an exchange.
+type Upload = mpsc::Sender<peer::Upload>;
+
+fn log_broken(address: net::SocketAddr, status: &tonic::Status) {
+    let (peer, error) = (address.to_string(), status.to_string());
+    log::warn!(peer = peer.as_str(), error = error.as_str(); "peer-broke-off");
 }
 
-/// Sends the head, and the body when it is at hand.
+/// Sends the head, and the body when it is buffered.
 async fn send_first(
     parts: &mpsc::Sender<peer::Upload>,
     head: peer::RequestHead,
@@ -146,7 +163,7 @@
         first.push(peer::upload::Part::End(peer::End {}));
     }
     for part in first {
-        // Three parts at most, and the channel holds more.
+        // Three parts at most, and the channel holds more; a closed one shows in the exchange.
         let _ = parts.send(peer::Upload { part: Some(part) }).await;
     }
 }
@@ -165,6 +182,7 @@
         }
     }
     let end = peer::upload::Part::End(peer::End {});
+    // A closed upload shows in the exchange.
     let _ = parts.send(peer::Upload { part: Some(end) }).await;
 }
 
--- a/crates/node/src/owner/peers/server.rs
+++ b/crates/node/src/owner/peers/server.rs
@@ -31,13 +31,13 @@
 use crate::owner::peers::forwarder;
 use crate::owner::runner;
 
-/// Parts of an answer that wait to be sent.
+/// Parts of an answer that wait to be sent. Not measured.
 const PARTS: usize = 8;
 
 /// Largest message: a configuration fits into a value of the store, a megabyte, with room around.
 pub const LARGEST_MESSAGE: usize = 4 << 20;
 
-/// Streams one peer may have open.
+/// Streams one peer may have open. Not measured.
 const STREAMS: u32 = 4_096;
 
 /// The peers' server.
@@ -133,6 +133,7 @@
         match result {
             Ok(answer) => relay(answer, &parts).await,
             Err(failed) => {
+                // A closed download means that the entry gave up.
                 let _ = send(&parts, peer::download::Part::Failure(failure_out(&failed))).await;
             }
         }
@@ -150,6 +151,7 @@
             upstream: slot.upstream.as_str().to_owned(),
             usage: Some(convert::usage_out(slot.usage)),
         };
+        // A closed download means that the entry gave up; the whole work is dropped then.
         let _ = send(parts, peer::download::Part::Go(go)).await;
         self.runner.run(slot, &order, upload_body(upload, None)).await
     }
@@ -226,16 +228,18 @@
             }
         }
     }
+    // A closed download means that the entry gave up.
     let _ = send(parts, peer::download::Part::End(peer::End {})).await;
 }
 
-/// Returns a body as a peer sends it; without its end it fails. The peer is told to go on at `ask`
-/// when the body is first wanted.
+/// Returns a body as a peer sends it; without its end it fails. When the body is first polled, the
+/// peer is asked through `ask` to send it.
 fn upload_body(upload: Streaming<peer::Upload>, ask: Option<Parts>) -> body::Body {
     let state = Some((upload, ask));
     let frames = futures_util::stream::unfold(state, |state| async move {
         let (mut upload, ask) = state?;
         if let Some(parts) = ask {
+            // A closed download means that the entry gave up; the body then fails.
             let _ = send(&parts, peer::download::Part::Go(peer::Go::default())).await;
         }
         let part = upload.message().await.ok().flatten().and_then(|upload| upload.part);
--- a/crates/node/src/owner/runner.rs
+++ b/crates/node/src/owner/runner/mod.rs
@@ -3,17 +3,14 @@
 //! Owns the connections to upstreams, and gives each slot back with the outcome of its exchange. Relies on
 //! the decisions for slots.
 
-use std::future::Future as _;
-use std::io;
-use std::pin::Pin;
+mod guarded;
+
 use std::sync;
-use std::task;
 use std::time::{Duration, Instant};
 
-use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, header};
-use http_body::{Body as _, Frame, SizeHint};
 use http_body_util::BodyExt as _;
+use hyper::body::Incoming;
 use hyper_util::client::legacy;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt;
@@ -30,13 +27,13 @@
 use crate::owner::handle;
 use crate::owner::handle::offered;
 
-/// Time to make a connection to an upstream.
+/// Time to make a connection to an upstream. Not measured.
 const CONNECT_TIME: Duration = Duration::from_secs(1);
 
-/// Idle connections kept to one upstream; more than its slots are never of use.
+/// Idle connections kept to one upstream. Not measured; more than its slots are never of use.
 const IDLE_CONNECTIONS: usize = 8;
 
-/// Time for which an idle connection is kept.
+/// Time for which an idle connection is kept. Not measured.
 const IDLE_TIME: Duration = Duration::from_secs(30);
 
 /// A request on its way to an upstream.
@@ -133,46 +130,53 @@
         order: &Order,
         body: body::Body,
     ) -> Result<Response<body::Body>, failed::Failed> {
-        let upstream = slot.upstream.clone();
-        let fail = |failure| failed::Failed {
-            upstream: Some(upstream.clone()),
-            ..failed::Failed::before(failure)
-        };
-        let Some(request) = self.request(&slot, order, body) else {
-            slot.offered.done(request::Outcome::Shed);
-            return Err(fail(verdict::Failure::not_run(verdict::Reason::BadRequest)));
+        match self.exchange(&slot, order, body).await {
+            Ok(answer) => {
+                let left = order.deadline.saturating_duration_since(self.handle.now());
+                let (mut parts, inner) = answer.into_parts();
+                head::clean(&mut parts.headers);
+                let body = guarded::Guarded::new(inner, slot.offered, left).boxed_unsync();
+                Ok(Response::from_parts(parts, body))
+            }
+            Err(End { outcome, failure }) => {
+                let upstream = Some(slot.upstream);
+                slot.offered.done(outcome);
+                Err(failed::Failed { upstream, ..failed::Failed::before(failure) })
+            }
+        }
+    }
+
+    /// Sends the request and waits for the answer's head.
+    async fn exchange(
+        &self,
+        slot: &Slot,
+        order: &Order,
+        body: body::Body,
+    ) -> Result<Response<Incoming>, End> {
+        use request::Outcome;
+        use verdict::Reason;
+        let Some(request) = self.request(slot, order, body) else {
+            return Err(End::not_run(Outcome::Shed, Reason::BadRequest));
         };
         let left = order.deadline.saturating_duration_since(self.handle.now());
-        let answer = match tokio::time::timeout(left, self.client.request(request)).await {
-            Ok(Ok(answer)) => answer,
+        match tokio::time::timeout(left, self.client.request(request)).await {
+            Ok(Ok(answer)) if order.service.shed.contains(&answer.status().as_u16()) => {
+                Err(End::not_run(Outcome::Shed, Reason::Shed))
+            }
+            Ok(Ok(answer)) => Ok(answer),
             Ok(Err(error)) if error.is_connect() => {
-                slot.offered.done(request::Outcome::Unreachable);
-                return Err(fail(verdict::Failure::not_run(verdict::Reason::Unreachable)));
+                Err(End::not_run(Outcome::Unreachable, Reason::Unreachable))
             }
             Ok(Err(error)) => {
-                let (name, error) = (upstream.as_str(), format!("{:#}", anyhow::Error::new(error)));
-                log::warn!(upstream = name, error = error.as_str(); "upstream-broke-off");
-                slot.offered.done(request::Outcome::Broken);
-                return Err(fail(verdict::Failure::may_have_run(verdict::Reason::Broken)));
+                let error = format!("{:#}", anyhow::Error::new(error));
+                log::warn!(
+                    upstream = slot.upstream.as_str(), error = error.as_str();
+                    "upstream-broke-off"
+                );
+                Err(End::may_have_run(Outcome::Broken, Reason::Broken))
             }
-            Err(_) => {
-                slot.offered.done(request::Outcome::Abandoned);
-                return Err(fail(verdict::Failure::may_have_run(verdict::Reason::Deadline)));
-            }
-        };
-        if order.service.shed.contains(&answer.status().as_u16()) {
-            slot.offered.done(request::Outcome::Shed);
-            return Err(fail(verdict::Failure::not_run(verdict::Reason::Shed)));
+            Err(_) => Err(End::may_have_run(Outcome::Abandoned, Reason::Deadline)),
         }
-        let left = order.deadline.saturating_duration_since(self.handle.now());
-        let (mut parts, inner) = answer.into_parts();
-        head::clean(&mut parts.headers);
-        let guarded = Guarded {
-            inner,
-            offered: Some(slot.offered),
-            deadline: Box::pin(tokio::time::sleep(left)),
-        };
-        Ok(Response::from_parts(parts, guarded.boxed_unsync()))
     }
 
     /// Builds the request that the upstream sees.
@@ -193,70 +197,18 @@
     }
 }
 
-/// An answer's body that holds its slot until it ends.
-struct Guarded {
-    inner: hyper::body::Incoming,
-    offered: Option<offered::Offered>,
-    deadline: Pin<Box<tokio::time::Sleep>>,
+/// How an exchange without an answer ended: for the upstream, and for the caller.
+struct End {
+    outcome: request::Outcome,
+    failure: verdict::Failure,
 }
 
-impl Guarded {
-    fn end(&mut self, outcome: request::Outcome) {
-        if let Some(offered) = self.offered.take() {
-            offered.done(outcome);
-        }
-    }
-}
-
-impl http_body::Body for Guarded {
-    type Data = Bytes;
-    type Error = io::Error;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        context: &mut task::Context<'_>,
-    ) -> task::Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let this = &mut *self;
-        if let task::Poll::Ready(frame) = Pin::new(&mut this.inner).poll_frame(context) {
-            return task::Poll::Ready(match frame {
-                Some(Ok(frame)) => {
-                    if this.inner.is_end_stream() {
-                        this.end(request::Outcome::Answered);
-                    }
-                    Some(Ok(frame))
-                }
-                Some(Err(error)) => {
-                    this.end(request::Outcome::Broken);
-                    Some(Err(io::Error::other(error)))
-                }
-                None => {
-                    this.end(request::Outcome::Answered);
-                    None
-                }
-            });
-        }
-        if this.deadline.as_mut().poll(context).is_ready() && this.offered.is_some() {
-            this.end(request::Outcome::Abandoned);
-            return task::Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
-        }
-        task::Poll::Pending
-    }
-
-    fn is_end_stream(&self) -> bool {
-        self.inner.is_end_stream()
+impl End {
+    fn not_run(outcome: request::Outcome, reason: verdict::Reason) -> Self {
+        Self { outcome, failure: verdict::Failure::not_run(reason) }
     }
 
-    fn size_hint(&self) -> SizeHint {
-        self.inner.size_hint()
-    }
-}
-
-impl Drop for Guarded {
-    fn drop(&mut self) {
-        let outcome = match self.inner.is_end_stream() {
-            true => request::Outcome::Answered,
-            false => request::Outcome::Abandoned,
-        };
-        self.end(outcome);
+    fn may_have_run(outcome: request::Outcome, reason: verdict::Reason) -> Self {
+        Self { outcome, failure: verdict::Failure::may_have_run(reason) }
     }
 }
--- a/crates/node/src/owner/settings.rs
+++ b/crates/node/src/owner/settings.rs
@@ -12,7 +12,7 @@
 /// Length of a SHA-256 hash in hexadecimal digits.
 const HASH_DIGITS: usize = 64;
 
-/// Everything a node must be told.
+/// The settings of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -24,7 +24,7 @@
     pub hall: id::Hall,
     /// Where it listens.
     pub listen: Listen,
-    /// Nodes to ask first, by their faces for peers.
+    /// Nodes to ask first, by where they listen for peers.
     #[serde(default)]
     pub seeds: Vec<net::SocketAddr>,
     /// The platform's store.
@@ -32,7 +32,7 @@
     /// The platform's VM list.
     #[serde(default)]
     pub vms: Option<net::SocketAddr>,
-    /// Who may use the operators' face.
+    /// Who may use the resource API.
     #[serde(default)]
     pub operators: Vec<Operator>,
     /// Bounds that protect the node.
@@ -43,7 +43,7 @@
     pub log: Level,
 }
 
-/// The addresses of a node's three faces.
+/// Where a node's three servers listen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -55,7 +55,7 @@
     pub peers: net::SocketAddr,
 }
 
-/// Someone who may use the operators' face.
+/// Someone who may use the resource API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
--- a/crates/node/src/owner/store/follower.rs
+++ b/crates/node/src/owner/store/follower.rs
@@ -153,6 +153,7 @@
                 self.handle.send(event::Event::Configure { snapshot });
             }
             log_outcome(&write.change, &outcome);
+            // Without a receiver the operator has disconnected; the outcome is logged.
             let _ = write.reply.send(outcome);
         }
     }
@@ -172,6 +173,7 @@
 
 /// Waits until this node is one that watches for its region.
 async fn until_watcher(views: &mut watch::Receiver<sync::Arc<view::View>>) {
+    // A closed channel means that the node ends.
     let _ = views.wait_for(|view| view.is_watcher).await;
 }
 
--- a/crates/node/tests/process/failures.rs
+++ b/crates/node/tests/process/failures.rs
@@ -78,8 +78,8 @@
     ends
 }
 
-/// Returns a node that is home of upstreams.
-async fn some_home(rig: &rig::Rig) -> String {
+/// Returns a node that owns upstreams.
+async fn some_owner(rig: &rig::Rig) -> String {
     for (name, node) in &rig.nodes {
         let state = rig.state(node).await;
         let upstreams = state["upstreams"].as_array().cloned().unwrap_or_default();
@@ -87,13 +87,13 @@
             return name.clone();
         }
     }
-    panic!("no node is home of anything");
+    panic!("no node owns an upstream");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_cuts_off_no_request() {
     let rig = sync::Arc::new(rig::Rig::start(&["dakar"], 3).await);
-    let leaving = some_home(&rig).await;
+    let leaving = some_owner(&rig).await;
     let ends = under_load(&rig, &leaving, async {
         tokio::time::sleep(Duration::from_millis(500)).await;
         // A long answer is on its way through the stopping node.
@@ -128,7 +128,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_home_is_replaced_and_nothing_runs_beyond_the_slots() {
     let rig = sync::Arc::new(rig::Rig::start(&["dakar"], 3).await);
-    let killed = some_home(&rig).await;
+    let killed = some_owner(&rig).await;
     let vm = rig.nodes[&killed].peers.ip();
     let ends = under_load(&rig, &killed, async {
         tokio::time::sleep(Duration::from_millis(500)).await;
@@ -157,7 +157,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_home_that_wakes_overloads_nothing() {
     let rig = sync::Arc::new(rig::Rig::start(&["dakar"], 3).await);
-    let paused = some_home(&rig).await;
+    let paused = some_owner(&rig).await;
     let ends = under_load(&rig, &paused, async {
         tokio::time::sleep(Duration::from_millis(500)).await;
         rig.nodes[&paused].signal("STOP");
