--- a/crates/node/src/owner/callers/server.rs
+++ b/crates/node/src/owner/callers/server.rs
@@ -38,6 +38,9 @@
 /// Longest path with its query, in bytes. Not measured.
 const LONGEST_PATH: usize = 8 * 1_024;
 
+/// `Retry-After` of a node that is not ready. Not measured; half of the time in which it becomes so.
+const NOT_READY_RETRY: Duration = Duration::from_secs(1);
+
 /// Pause after a failure to accept, such as too many open files. Not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
@@ -135,13 +138,23 @@
         request: Request<Incoming>,
         caller: net::IpAddr,
     ) -> Result<Response<body::Body>, verdict::Failure> {
+        let (parts, incoming) = request.into_parts();
+        let ticket = text(&parts.headers, &head::TICKET);
+        let order = self.order(parts, caller)?;
+        let source = self.source(incoming, order.deadline).await?;
+        self.send(order, source, ticket.as_deref()).await
+    }
+
+    /// Checks a request's head and makes the order that is sent to owners.
+    fn order(
+        &self,
+        mut parts: http::request::Parts,
+        caller: net::IpAddr,
+    ) -> Result<runner::Order, verdict::Failure> {
         let bad = verdict::Failure::not_run(verdict::Reason::BadRequest);
-        let (mut parts, incoming) = request.into_parts();
         let path = parts.uri.path_and_query().map_or("/", |p| p.as_str());
-        if head::is_ambiguous(&parts.headers) || path.len() > LONGEST_PATH {
-            return Err(bad);
-        }
-        if parts.method == Method::CONNECT {
+        let is_connect = parts.method == Method::CONNECT;
+        if is_connect || head::is_ambiguous(&parts.headers) || path.len() > LONGEST_PATH {
             return Err(bad);
         }
         let host = parts.uri.authority().map(|a| a.as_str().to_owned());
@@ -149,7 +162,7 @@
         let view = self.handle.view();
         if !view.is_ready {
             let failure = verdict::Failure::not_run(verdict::Reason::NotReady);
-            return Err(failure.after(Duration::from_secs(1)));
+            return Err(failure.after(NOT_READY_RETRY));
         }
         let service = host.as_deref().and_then(|host| view.config.service_of(host));
         let Some(service) = service.map(sync::Arc::clone) else {
@@ -161,11 +174,10 @@
             head::Number::Malformed => return Err(bad),
         };
         let deadline = self.handle.now() + allowed;
-        let ticket = text(&parts.headers, &head::TICKET);
         let path = path.to_owned();
         head::clean(&mut parts.headers);
         head::add_caller(&mut parts.headers, caller);
-        let order = runner::Order {
+        Ok(runner::Order {
             place: view.config.place_of(caller),
             method: parts.method,
             path,
@@ -174,9 +186,7 @@
             avoid: Vec::new(),
             may_wait: false,
             service,
-        };
-        let source = self.source(incoming, deadline).await?;
-        self.send(order, source, ticket.as_deref()).await
+        })
     }
 
     async fn send(
--- a/crates/node/src/owner/event_loop/message.rs
+++ b/crates/node/src/owner/event_loop/message.rs
@@ -72,7 +72,7 @@
 
 /// A message to the event loop.
 pub(crate) enum Message {
-    /// An event that nobody waits for.
+    /// An event without an answer.
     Event(event::Event),
     /// An event that is answered with a decision on the request.
     Ask { event: event::Event, request: request::Id, reply: oneshot::Sender<Answer> },
--- a/crates/node/src/owner/event_loop/mod.rs
+++ b/crates/node/src/owner/event_loop/mod.rs
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Answers the ask of a decision; one that nobody waits for any more is undone.
+    /// Answers the ask of a decision; one whose ask was given up is undone.
     fn decide(&mut self, action: action::Action, now: Instant) {
         let Some((id, decision)) = message::decision(action) else { return };
         let unclaimed = match self.waiting.remove(&id) {
--- a/crates/node/src/owner/handle/mod.rs
+++ b/crates/node/src/owner/handle/mod.rs
@@ -171,7 +171,7 @@
     ) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         let look: message::Look = Box::new(move |state| {
-            // Without a receiver nobody waits for the result any more.
+            // Without a receiver the read was given up.
             let _ = reply.send(look(state));
         });
         self.asks.try_send(message::Message::Look(look)).ok()?;
--- a/crates/node/src/owner/node.rs
+++ b/crates/node/src/owner/node.rs
@@ -86,12 +86,19 @@
         let stats = sync::Arc::new(stats::Stats::new());
         let calls = sync::Arc::new(client::Calls::default());
         let (stop_callers, stopped) = watch::channel(false);
+        let context = operators::api::Context {
+            handle: handle.clone(),
+            writes,
+            access: operators::access::Access::new(&settings.operators),
+            calls: sync::Arc::clone(&calls),
+            stats: sync::Arc::clone(&stats),
+        };
         let threads = vec![
-            start_callers(settings, &handle, sync::Arc::clone(&stats), callers, stopped)?,
+            start_callers(settings, &handle, stats, callers, stopped)?,
             start_peers(&handle, peers, to_send)?,
-            start_store(settings, &handle, sync::Arc::clone(&calls), to_write, to_apply)?,
+            start_store(settings, &handle, calls, to_write, to_apply)?,
             start_probes(&handle)?,
-            start_operators(settings, &handle, stats, calls, writes, operators)?,
+            start_operators(context, operators)?,
         ];
         let limits = settings.limits.clone();
         Ok(Self { listen, handle, stop_callers, limits, threads, thread })
@@ -179,7 +186,7 @@
     let handle = handle.clone();
     let limits = settings.limits.clone();
     io_thread::IoThread::start("callers", move || async move {
-        let Ok(listener) = TcpListener::from_std(listener) else { return };
+        let Some(listener) = register("callers", listener) else { return };
         let entry = entry(&handle);
         let server = callers::server::Server { handle, entry, limits, stats };
         callers::server::serve(server, listener, stopped).await;
@@ -195,7 +202,7 @@
 ) -> io::Result<io_thread::IoThread> {
     let handle = handle.clone();
     io_thread::IoThread::start("peers", move || async move {
-        let Ok(listener) = TcpListener::from_std(listener) else { return };
+        let Some(listener) = register("peers", listener) else { return };
         let server = peers::server::Server {
             runner: runner::Runner::new(handle.clone()),
             entry: entry(&handle),
@@ -241,22 +248,28 @@
 }
 
 fn start_operators(
-    settings: &settings::Settings,
-    handle: &handle::Handle,
-    stats: sync::Arc<stats::Stats>,
-    calls: sync::Arc<client::Calls>,
-    writes: mpsc::Sender<follower::Write>,
+    context: operators::api::Context,
     listener: std::net::TcpListener,
 ) -> io::Result<io_thread::IoThread> {
-    let access = operators::access::Access::new(&settings.operators);
-    let context = operators::api::Context { handle: handle.clone(), writes, access, calls, stats };
     io_thread::IoThread::start("operators", move || async move {
-        let Ok(listener) = TcpListener::from_std(listener) else { return };
+        let Some(listener) = register("operators", listener) else { return };
         // It serves until the thread is stopped and never returns an error.
         let _ = axum::serve(listener, operators::api::router(context)).await;
     })
 }
 
+/// Registers a listener with the runtime of the thread `name`.
+fn register(name: &str, listener: std::net::TcpListener) -> Option<TcpListener> {
+    match TcpListener::from_std(listener) {
+        Ok(listener) => Some(listener),
+        Err(error) => {
+            let error = error.to_string();
+            log::error!(duty = name, error = error.as_str(); "duty-failed");
+            None
+        }
+    }
+}
+
 fn entry(handle: &handle::Handle) -> callers::entry::Entry {
     callers::entry::Entry::new(
         handle.clone(),
--- a/crates/node/src/owner/operators/access.rs
+++ b/crates/node/src/owner/operators/access.rs
@@ -41,7 +41,7 @@
 
     /// Returns the operator whose bearer token the request carries.
     ///
-    /// Hashes are compared in a time that does not tell how much of them agrees.
+    /// Hashes are compared in constant time.
     #[must_use]
     pub fn check(&self, headers: &HeaderMap) -> Option<Operator> {
         let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
--- a/crates/node/src/owner/operators/dump.rs
+++ b/crates/node/src/owner/operators/dump.rs
@@ -179,22 +179,28 @@
             upstreams: upstreams(core, now),
             services: services(core, now),
             splits: splits(core),
-            requests: Requests {
-                routed: core.router.load(),
-                at_home: core.owner.load(),
-                undecided: state.waiting,
-                tickets: state.tickets,
-                asks: pressure.asks,
-                releases: pressure.releases,
-                refused: pressure.refused,
-                dropped: state.dropped,
-            },
+            requests: Requests::new(state, pressure),
             store,
             callers,
         }
     }
 }
 
+impl Requests {
+    fn new(state: &message::State<'_>, pressure: handle::Pressure) -> Self {
+        Self {
+            routed: state.core.router.load(),
+            at_home: state.core.owner.load(),
+            undecided: state.waiting,
+            tickets: state.tickets,
+            asks: pressure.asks,
+            releases: pressure.releases,
+            refused: pressure.refused,
+            dropped: state.dropped,
+        }
+    }
+}
+
 fn members(core: &steer::ownership::core::Core, now: Instant) -> Vec<Member> {
     let member = |known: &steer::ownership::members::Known| Member {
         node: known.member.key.to_string(),
--- a/crates/node/src/owner/peers/forwarder.rs
+++ b/crates/node/src/owner/peers/forwarder.rs
@@ -39,12 +39,6 @@
 }
 
 impl Forwarder {
-    /// Makes a forwarder on `connections`.
-    #[must_use]
-    pub fn new(connections: connections::Connections) -> Self {
-        Self { connections }
-    }
-
     /// Forwards a request to the node at `address`.
     ///
     /// A buffered body is sent at once; a streamed one when the owner has a slot, so that it can still
@@ -76,10 +70,7 @@
         source: &mut body::Source,
         report: impl Fn(heartbeat::Usage),
     ) -> Result<Response<body::Body>, failed::Failed> {
-        let kept = match &*source {
-            body::Source::Kept(bytes) => Some(bytes.clone()),
-            body::Source::Streamed(_) | body::Source::Spent => None,
-        };
+        let kept = buffered(source);
         let (mut parts, mut download) = self.open(address, head, kept).await?;
         let mut upstream = None;
         loop {
@@ -141,6 +132,13 @@
     }
 }
 
+fn buffered(source: &body::Source) -> Option<Bytes> {
+    match source {
+        body::Source::Kept(bytes) => Some(bytes.clone()),
+        body::Source::Streamed(_) | body::Source::Spent => None,
+    }
+}
+
 /// The upload of an exchange.
 type Upload = mpsc::Sender<peer::Upload>;
 
--- a/crates/steer/src/ownership/core/mod.rs
+++ b/crates/steer/src/ownership/core/mod.rs
@@ -115,9 +115,7 @@
             }
             event::Event::Returned { request } => self.router.returned(request),
             event::Event::Failed { request, failure, repetition } => {
-                if failure.reason == verdict::Reason::NotReady {
-                    self.suspect_owner(request, now);
-                }
+                self.suspect_unready(request, failure, now);
                 self.with_router(now, |router, view| {
                     router.failed(request, failure, repetition, view, out);
                 });
@@ -212,9 +210,12 @@
     /// Stops giving work to an owner that could not be reached, until it is seen again.
     ///
     /// It has nothing outstanding, so it would look like the least loaded of all.
-    fn suspect_owner(&mut self, request: request::Id, now: Instant) {
-        if let Some(owner) = self.router.owner_of(request).cloned() {
-            self.unanswered(&owner, now);
+    fn suspect_unready(&mut self, request: request::Id, failure: verdict::Failure, now: Instant) {
+        match self.router.owner_of(request).cloned() {
+            Some(owner) if failure.reason == verdict::Reason::NotReady => {
+                self.unanswered(&owner, now);
+            }
+            _ => {}
         }
     }
 
--- a/crates/steer/src/ownership/ledger.rs
+++ b/crates/steer/src/ownership/ledger.rs
@@ -34,7 +34,7 @@
 }
 
 impl Ledger {
-    /// Makes the ledger of an upstream that nobody uses yet.
+    /// Makes the ledger of an upstream that is not used yet.
     #[must_use]
     pub fn new(slots: u32, allotment: allotment::Allotment) -> Self {
         Self {
--- a/crates/steer/src/ownership/owner/admission.rs
+++ b/crates/steer/src/ownership/owner/admission.rs
@@ -17,7 +17,7 @@
 impl Owner {
     /// Decides on a request that wants a slot.
     ///
-    /// It starts at once when an upstream has room and nobody waits before it. Otherwise it waits if
+    /// It starts at once when an upstream has room and none waits before it. Otherwise it waits if
     /// it may; if not, it is refused so that its entry asks another owner.
     pub fn offer(&mut self, offer: request::Offer, now: Instant, out: &mut Vec<action::Action>) {
         let Some(served) = self.services.get_mut(&offer.service) else {
--- a/crates/steer/src/ownership/queue.rs
+++ b/crates/steer/src/ownership/queue.rs
@@ -34,7 +34,7 @@
         self.len
     }
 
-    /// Returns whether nobody waits.
+    /// Returns whether it is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
--- a/crates/steer/src/ownership/share.rs
+++ b/crates/steer/src/ownership/share.rs
@@ -1,6 +1,6 @@
 //! Shares: how the slots of an upstream are divided among its ranked nodes.
 //!
-//! The shares of one epoch add up to the slots, so that nodes which cannot hear each other never
+//! The shares of one epoch add up to the slots, so that nodes which cannot reach each other never
 //! use more than there are, whatever each believes. Owns the division. Relies on the ranks of
 //! [`rendezvous`](crate::ownership::rendezvous).
 
--- a/crates/steer/tests/fleet/world.rs
+++ b/crates/steer/tests/fleet/world.rs
@@ -360,9 +360,9 @@
             model::upstream::Key { service: id::Service::new(SERVICE), upstream: upstream.clone() };
         let Some(ledger) = core.owner.upstreams.get(&key).map(|u| &u.ledger) else { return };
         let in_doubt = ledger.allotment.owner() != Some(&core.me.key);
-        let on_loan = ledger.running_on_leases().any(|(_, slots)| slots > 0);
+        let on_lease = ledger.running_on_leases().any(|(_, slots)| slots > 0);
         self.met.note_if(in_doubt, "run in doubt, by a node that is not owner");
-        self.met.note_if(on_loan, "run on a lease");
+        self.met.note_if(on_lease, "run on a lease");
     }
 
     fn finish(&mut self, which: u16) {
