--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -13,6 +13,7 @@
 use model::resource;
 use model::service;
 use model::upstream;
+use node::common::logging;
 use node::owner::operators::access;
 use node::owner::settings;
 use standin::{client, store, truth};
@@ -207,7 +208,7 @@
             may: settings::May::Write,
         }],
         limits: settings::Limits::default(),
-        log: settings::Level::Error,
+        log: logging::Level::Error,
     }
 }
 
--- a/crates/cli/src/demo/fleet.rs
+++ b/crates/cli/src/demo/fleet.rs
@@ -8,6 +8,7 @@
 use model::change;
 use model::id;
 use model::resource;
+use node::common::logging;
 use node::common::store::accept;
 use node::owner::operators::access;
 use node::owner::settings;
@@ -212,7 +213,7 @@
                 may: settings::May::Write,
             }],
             limits: settings::Limits { lookup_cache: LOOKUP_CACHE, ..settings::Limits::default() },
-            log: settings::Level::Error,
+            log: logging::Level::Error,
         }
     }
 
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -13,7 +13,7 @@
 use std::sync;
 use std::time::Duration;
 
-use node::owner::settings;
+use node::common::logging;
 
 use crate::args;
 use crate::exit;
@@ -29,7 +29,7 @@
 /// Fails when the example cannot be started, which says nothing about promises.
 pub async fn run(args: &args::Demo) -> anyhow::Result<exit::Code> {
     anyhow::ensure!(args.seconds >= LEAST_SECONDS, "--seconds: expected at least {LEAST_SECONDS}");
-    node::common::logging::start(settings::Level::Warn, io::stderr())?;
+    logging::start(logging::Level::Warn, io::stderr())?;
     if args.platform {
         return platform::run(args).await;
     }
--- a/crates/node/src/args.rs
+++ b/crates/node/src/args.rs
@@ -1,4 +1,6 @@
 //! Command line of `yokespoked`.
+//!
+//! Owns the arguments alone; the controller acts on them.
 
 use std::path;
 
--- a/crates/node/src/common/head.rs
+++ b/crates/node/src/common/head.rs
@@ -1,4 +1,6 @@
 //! Heads of requests and answers: what is passed on, and what is not.
+//!
+//! Owns the names of yokespoke's own headers that both roles use, and an owner's rules of hops.
 
 use http::header;
 use http::{HeaderMap, HeaderName, HeaderValue};
@@ -16,13 +18,16 @@
 /// Header of an answer that says why the request failed.
 pub const REASON: HeaderName = HeaderName::from_static("yokespoke-reason");
 
-/// Header by which an upstream learns the deadline, in milliseconds since 1970 (UTC).
+/// Header that tells an upstream the deadline, in milliseconds since 1970 (UTC).
 pub const DEADLINE: HeaderName = HeaderName::from_static("yokespoke-deadline");
 
-/// Header by which an upstream learns the caller's address.
+/// Header that tells an upstream the caller's address.
 const FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Headers that an owner removes as concerning one connection only (RFC 9110, section 7.6.1).
+///
+/// A gateway's list differs: it removes `Expect` and `Proxy-Connection`, and passes
+/// `Proxy-Authenticate` on.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -37,7 +42,7 @@
 /// Headers that only yokespoke itself may set.
 const OURS: [HeaderName; 5] = [TIMEOUT, TICKET, VERDICT, REASON, DEADLINE];
 
-/// Returns whether a request says in two ways how long its body is, as smugglers do.
+/// Returns whether a request gives its length or host more than once, as request smuggling does.
 #[must_use]
 pub fn is_ambiguous(headers: &HeaderMap) -> bool {
     let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
@@ -45,17 +50,21 @@
     lengths > 1 || (lengths == 1 && coded) || headers.get_all(header::HOST).iter().count() > 1
 }
 
+/// Returns the headers that `Connection` lists as meant for this hop only.
+///
+/// Words that cannot be a header's name are skipped: there is no such header to remove.
+#[must_use]
+pub fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
+    let values = headers.get_all(header::CONNECTION).iter();
+    let words = values.filter_map(|value| value.to_str().ok()).flat_map(|value| value.split(','));
+    words.filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok()).collect()
+}
+
 /// Removes what concerns the caller's connection only and what only yokespoke may say.
 pub fn clean(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|value| value.split(','))
-        .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
-        .filter(|name| *name != header::CONTENT_LENGTH && *name != header::HOST)
-        .collect();
-    for name in named.iter().chain(&HOP_BY_HOP).chain(&OURS) {
+    let mut options = connection_options(headers);
+    options.retain(|name| *name != header::CONTENT_LENGTH && *name != header::HOST);
+    for name in options.iter().chain(&HOP_BY_HOP).chain(&OURS) {
         headers.remove(name);
     }
 }
@@ -67,6 +76,7 @@
         Some(before) => format!("{before}, {caller}"),
         None => caller.to_string(),
     };
+    // An address can always stand in a header, and so can what stood there before.
     if let Ok(value) = HeaderValue::from_str(&value) {
         headers.insert(FORWARDED_FOR, value);
     }
--- a/crates/node/src/common/logging.rs
+++ b/crates/node/src/common/logging.rs
@@ -1,4 +1,6 @@
 //! Logs: one line of key=value pairs for each event.
+//!
+//! Owns the form of a line and the levels; relies on [`log_writer`] to write lines without blocking.
 
 use std::fmt;
 use std::fmt::Write as _;
@@ -8,9 +10,24 @@
 use std::time::SystemTime;
 
 use log::kv;
+use serde::{Deserialize, Serialize};
 
 use crate::common::log_writer;
-use crate::owner::settings;
+
+/// The least important events that are logged, as settings name them.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Level {
+    /// Failures of the node itself.
+    Error,
+    /// Faults of others that change what the node does.
+    Warn,
+    /// Changes of configuration, membership and standing.
+    #[default]
+    Info,
+    /// Every request too.
+    Debug,
+}
 
 /// Sends events of `level` and above to `output`: a process's own is standard output; a tool whose
 /// results go there logs to standard error.
@@ -18,10 +35,7 @@
 /// # Errors
 ///
 /// Fails when a logger is set already.
-pub fn start(
-    level: settings::Level,
-    output: impl io::Write + Send + 'static,
-) -> anyhow::Result<()> {
+pub fn start(level: Level, output: impl io::Write + Send + 'static) -> anyhow::Result<()> {
     let lines = log_writer::LogWriter::start(output, dropped())?;
     fern::Dispatch::new()
         .format(|out, message, record| out.finish(format_args!("{}", Line { message, record })))
@@ -41,12 +55,12 @@
     sync::Arc::clone(&DROPPED)
 }
 
-fn filter(level: settings::Level) -> log::LevelFilter {
+fn filter(level: Level) -> log::LevelFilter {
     match level {
-        settings::Level::Error => log::LevelFilter::Error,
-        settings::Level::Warn => log::LevelFilter::Warn,
-        settings::Level::Info => log::LevelFilter::Info,
-        settings::Level::Debug => log::LevelFilter::Debug,
+        Level::Error => log::LevelFilter::Error,
+        Level::Warn => log::LevelFilter::Warn,
+        Level::Info => log::LevelFilter::Info,
+        Level::Debug => log::LevelFilter::Debug,
     }
 }
 
--- a/crates/node/src/common/mod.rs
+++ b/crates/node/src/common/mod.rs
@@ -1,7 +1,9 @@
-//! What both roles of a process use: logging, bodies, headers, the client of yokespoke's own store.
+//! What both roles of a process use: logging, settings, bodies, headers, the client of yokespoke's own
+//! store.
 
 pub mod body;
 pub mod head;
 pub mod log_writer;
 pub mod logging;
+pub mod settings;
 pub mod store;
--- a/crates/node/src/common/store/accept.rs
+++ b/crates/node/src/common/store/accept.rs
@@ -1,4 +1,7 @@
-//! Accepting a change: compare-and-swap of the whole configuration, told honestly.
+//! Accepting a change: compare-and-swap of the whole configuration.
+//!
+//! Owns what is reported about a change whose write was lost. Relies on [`acceptance`] for whether a
+//! change is valid.
 
 use std::sync;
 use std::time::Duration;
@@ -17,10 +20,11 @@
 /// Key of the configuration.
 pub const KEY: &str = "config";
 
-/// Times a change is tried against other operators' changes, or read back after a lost answer.
+/// Times a change is tried against other operators' changes, or read back after a lost answer. Not
+/// measured.
 const TRIES: u32 = 6;
 
-/// Pause before a lost answer is looked into again; it doubles.
+/// Pause before the configuration is read again after a lost answer; it doubles. Not measured.
 const PAUSE: Duration = Duration::from_millis(100);
 
 /// What became of a change.
@@ -68,13 +72,45 @@
     }
 }
 
-/// Reads a configuration's value; none when it is malformed.
+/// Reads a configuration's value; none when it is malformed, which callers log with the key.
 #[must_use]
 pub fn parse(value: &edge::Value) -> Option<Standing> {
     let snapshot = serde_json::from_slice(&value.bytes).ok()?;
     Some(Standing { version: value.revision, snapshot: sync::Arc::new(snapshot) })
 }
 
+/// How a write of the configuration ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Write {
+    /// It took effect.
+    Done,
+    /// Another revision stands; nothing was written.
+    Conflict,
+    /// The configuration cannot be encoded, which would be a bug.
+    Unwritable,
+    /// The store did not take it.
+    Refused,
+    /// It may have taken effect.
+    Lost,
+}
+
+async fn write<S: edge::Store>(store: &S, next: &snapshot::Snapshot, expected: u64) -> Write {
+    let bytes = match serde_json::to_vec(next) {
+        Ok(bytes) => Bytes::from(bytes),
+        Err(error) => {
+            let error = error.to_string();
+            log::error!(error = error.as_str(); "configuration-not-written");
+            return Write::Unwritable;
+        }
+    };
+    match store.put(KEY, bytes, expected).await {
+        Ok(edge::Put::Written(_)) => Write::Done,
+        Ok(edge::Put::Conflict) => Write::Conflict,
+        Err(edge::Error::Refused) => Write::Refused,
+        Err(edge::Error::Lost) => Write::Lost,
+    }
+}
+
 /// Applies a change, and returns the configuration too when it was accepted.
 ///
 /// A write whose answer is lost is looked for by its operation's id. It is never called refused
@@ -104,17 +140,15 @@
             Err(_) if sent_on == Some(standing.version) => break,
             Err(refusal) => return (Outcome::Refused { refusal }, None),
         };
-        let Ok(bytes) = serde_json::to_vec(&next) else {
-            return (Outcome::Unavailable, None);
-        };
-        match store.put(KEY, Bytes::from(bytes), standing.version).await {
-            Ok(edge::Put::Written(_)) => {
+        match write(store, &next, standing.version).await {
+            Write::Done => {
                 let outcome = Outcome::Accepted { revision: next.revision };
                 return (outcome, Some(sync::Arc::new(next)));
             }
-            Ok(edge::Put::Conflict) => {}
-            Err(edge::Error::Refused) if sent_on.is_none() => return (Outcome::Unavailable, None),
-            Err(_) => {
+            Write::Conflict => {}
+            Write::Unwritable => return (Outcome::Unavailable, None),
+            Write::Refused if sent_on.is_none() => return (Outcome::Unavailable, None),
+            Write::Refused | Write::Lost => {
                 sent_on = Some(standing.version);
                 tokio::time::sleep(pause).await;
                 pause *= 2;
--- a/crates/node/src/common/store/client.rs
+++ b/crates/node/src/common/store/client.rs
@@ -1,4 +1,6 @@
-//! A client of the store's HTTP protocol; no other module knows that protocol.
+//! A client of the HTTP protocol of the store of declarations.
+//!
+//! Owns the connections and the counts of calls; no other module knows the protocol.
 
 use std::net;
 use std::sync;
@@ -16,13 +18,13 @@
 
 use crate::common::store::edge;
 
-/// Time for an answer, beside what a watch waits.
+/// Time for an answer, beside what a watch waits. Not measured.
 const CALL_TIME: Duration = Duration::from_secs(2);
 
-/// Time to make a connection.
+/// Time to make a connection. Not measured.
 const CONNECT_TIME: Duration = Duration::from_millis(500);
 
-/// Largest value the store holds, with room around.
+/// Largest value that is read, in bytes. Not measured.
 const LARGEST_VALUE: usize = 2 << 20;
 
 /// Header that carries a value's revision.
@@ -157,6 +159,7 @@
     response: Response<Incoming>,
 ) -> Result<(StatusCode, Option<edge::Value>), edge::Error> {
     let (head, body) = response.into_parts();
+    // An answer without a readable revision counts as one without a value.
     let revision = head.headers.get(REVISION).and_then(|v| v.to_str().ok()?.parse().ok());
     let body = Limited::new(body, LARGEST_VALUE).collect().await;
     let bytes = body.map_err(|_| edge::Error::Lost)?.to_bytes();
--- a/crates/node/src/common/store/edge.rs
+++ b/crates/node/src/common/store/edge.rs
@@ -1,4 +1,6 @@
-//! The edge to the platform's store: what any of its clients must offer.
+//! The store of declarations: what any client of it must offer.
+//!
+//! Owns the results of its calls, which say whether a write may have taken effect.
 
 use std::fmt;
 use std::future;
--- /dev/null
+++ b/crates/node/src/controller/owner.rs
@@ -0,0 +1,58 @@
+//! Runs a node that owns upstreams from its settings to its planned stop.
+
+use std::io;
+use std::process;
+
+use ::node::common::logging;
+use ::node::owner::node;
+use ::node::owner::settings;
+use tokio::signal::unix;
+
+use crate::args;
+use crate::controller;
+
+/// Checks the settings, or runs a node until it is stopped.
+///
+/// # Errors
+///
+/// Fails when the settings cannot be used or the node cannot start.
+pub fn run(args: &args::Args) -> anyhow::Result<process::ExitCode> {
+    let settings = settings::Settings::read(&args.settings)?;
+    if args.check {
+        let subject = format_args!("node {}", settings.node);
+        return Ok(controller::report_valid(&args.settings, subject));
+    }
+    logging::start(settings.log, io::stdout())?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    runtime.block_on(serve(&settings))
+}
+
+async fn serve(settings: &settings::Settings) -> anyhow::Result<process::ExitCode> {
+    let mut terminate = unix::signal(unix::SignalKind::terminate())?;
+    let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
+    let node = node::Node::start(settings)?;
+    let name = settings.node.as_str();
+    log_start(name, &node.listen);
+    tokio::select! {
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
+    }
+    log::info!(node = name; "node-stopping");
+    let (took, is_done) = node.stop().await;
+    let took = humantime::format_duration(took).to_string();
+    log::info!(node = name, took = took.as_str(), done = is_done; "node-stopped");
+    Ok(controller::exit_code(is_done))
+}
+
+fn log_start(name: &str, listen: &settings::Listen) {
+    let callers = listen.callers.to_string();
+    let operators = listen.operators.to_string();
+    let peers = listen.peers.to_string();
+    log::info!(
+        node = name,
+        callers = callers.as_str(),
+        operators = operators.as_str(),
+        peers = peers.as_str();
+        "node-started"
+    );
+}
--- a/crates/node/src/gateway/proxy/head.rs
+++ b/crates/node/src/gateway/proxy/head.rs
@@ -8,10 +8,11 @@
 use model::id;
 use xxhash_rust::xxh3;
 
+use crate::common::head as names;
 use crate::gateway::dialect;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and an expectation that this
-/// node has met.
+/// Headers that a gateway removes as concerning one connection only (RFC 9110, section 7.6.1), with an
+/// expectation that it has met itself. An owner's list differs, as it says.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     header::EXPECT,
@@ -24,7 +25,7 @@
     header::UPGRADE,
 ];
 
-/// Why a head cannot be served.
+/// Why a request with this head is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// There is no host, or more than one.
@@ -36,7 +37,7 @@
 }
 
 impl Fault {
-    /// Returns the fault as a word for logs.
+    /// Returns the fault as it stands in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -153,15 +154,9 @@
 
 /// Removes what concerns one connection only, and what only this system may say.
 pub fn clean(headers: &mut HeaderMap, dialect: dialect::Dialect) {
-    let named: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|value| value.split(','))
-        .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
-        .filter(|name| !PROTECTED.contains(name) && !dialect.is_request_id(name))
-        .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    let mut options = names::connection_options(headers);
+    options.retain(|name| !PROTECTED.contains(name) && !dialect.is_request_id(name));
+    for name in options.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
     dialect.strip(headers);
--- a/crates/node/src/gateway/settings.rs
+++ b/crates/node/src/gateway/settings.rs
@@ -1,7 +1,8 @@
 //! Settings of a gateway, read from a YAML file.
+//!
+//! Owns their names and rules; relies on [`settings`] to read the file.
 
 use std::collections;
-use std::fs;
 use std::net;
 use std::path;
 use std::time::Duration;
@@ -12,14 +13,15 @@
 use model::id;
 use serde::{Deserialize, Serialize};
 
+use crate::common::logging;
+use crate::common::settings;
 use crate::gateway::dialect;
-use crate::owner::settings as node_settings;
 
-/// Everything a gateway must be told.
+/// Settings of a gateway.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Always `gateway`; tells these settings from those of a node.
+    /// Always `gateway`; the settings of an owner have no such field.
     pub role: Role,
     /// The node's name, the same after a restart.
     pub node: id::Node,
@@ -45,7 +47,7 @@
     pub bounds: Bounds,
     /// What is logged.
     #[serde(default)]
-    pub log: node_settings::Level,
+    pub log: logging::Level,
 }
 
 /// Where configuration and upstreams come from.
@@ -68,7 +70,7 @@
     }
 }
 
-/// The word that marks the settings of a gateway.
+/// Marks the settings of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
@@ -117,7 +119,7 @@
     greatest_shift: Option<f64>,
 }
 
-/// The one field that tells which kind of settings a file holds.
+/// The one field by which settings of a gateway are recognised.
 #[derive(Deserialize)]
 struct Kind {
     role: Option<Role>,
@@ -136,12 +138,7 @@
     ///
     /// Fails with the file, the line and the field at fault.
     pub fn read(file: &path::Path) -> anyhow::Result<Self> {
-        let name = file.display().to_string();
-        let text = fs::read_to_string(file)
-            .map_err(|error| anyhow::anyhow!("cannot read settings {name}: {error}"))?;
-        let settings: Self = document::read(&name, &text)?;
-        settings.check(&name)?;
-        Ok(settings)
+        settings::read(file, Self::check)
     }
 
     /// Returns where configuration and upstreams come from; [`Settings::check`] wants exactly one.
@@ -177,45 +174,55 @@
     ///
     /// Fails at the first field that breaks a rule.
     pub fn check(&self, file: &str) -> Result<(), document::Fault> {
-        let fault = |field: &str, message: String| document::Fault {
-            file: file.to_owned(),
-            line: None,
-            field: field.to_owned(),
-            message,
-        };
-        if self.store.is_some() == self.declarations.is_some() {
-            let message = "expected either `store` or `declarations`".to_owned();
-            return Err(fault("store", message));
+        self.check_source(file)?;
+        self.check_place(file)?;
+        check_bounds(&self.bounds(), file)
+    }
+
+    fn check_source(&self, file: &str) -> Result<(), document::Fault> {
+        match self.store.is_some() == self.declarations.is_some() {
+            true => {
+                Err(settings::fault(file, "store", "expected either `store` or `declarations`"))
+            }
+            false => Ok(()),
         }
+    }
+
+    fn check_place(&self, file: &str) -> Result<(), document::Fault> {
         match self.halls.get(&self.hall) {
-            Some(region) if *region == self.region => {}
+            Some(region) if *region == self.region => Ok(()),
             Some(region) => {
                 let message = format!("expected {region}, the region of hall {}", self.hall);
-                return Err(fault("region", message));
+                Err(settings::fault(file, "region", message))
             }
-            None => return Err(fault("halls", format!("hall {} is missing", self.hall))),
-        }
-        let bounds = self.bounds();
-        let times = [
-            ("bounds.grace", bounds.grace),
-            ("bounds.lookup_cache", bounds.lookup_cache),
-            ("bounds.retry_window", bounds.retry_window),
-        ];
-        for (field, time) in times {
-            if time.is_zero() {
-                return Err(fault(field, "expected more than 0s".to_owned()));
+            None => {
+                let message = format!("hall {} is missing", self.hall);
+                Err(settings::fault(file, "halls", message))
             }
         }
-        let parts = [
-            ("bounds.retry_ratio", bounds.retry_ratio, f64::INFINITY),
-            ("bounds.retry_slack", bounds.retry_slack, f64::INFINITY),
-            ("bounds.greatest_shift", bounds.greatest_shift, 1.0),
-        ];
-        for (field, value, most) in parts {
-            if !(0.0..=most).contains(&value) {
-                return Err(fault(field, format!("{value} is out of range")));
-            }
+    }
+}
+
+fn check_bounds(bounds: &bounds::Bounds, file: &str) -> Result<(), document::Fault> {
+    let times = [
+        ("bounds.grace", bounds.grace),
+        ("bounds.lookup_cache", bounds.lookup_cache),
+        ("bounds.retry_window", bounds.retry_window),
+    ];
+    for (field, time) in times {
+        if time.is_zero() {
+            return Err(settings::fault(file, field, "expected more than 0s"));
+        }
+    }
+    let shares = [
+        ("bounds.retry_ratio", bounds.retry_ratio, f64::INFINITY),
+        ("bounds.retry_slack", bounds.retry_slack, f64::INFINITY),
+        ("bounds.greatest_shift", bounds.greatest_shift, 1.0),
+    ];
+    for (field, value, most) in shares {
+        if !(0.0..=most).contains(&value) {
+            return Err(settings::fault(file, field, format!("{value} is out of range")));
         }
-        Ok(())
     }
+    Ok(())
 }
--- a/crates/node/src/owner/settings.rs
+++ b/crates/node/src/owner/settings.rs
@@ -1,6 +1,5 @@
 //! Settings of a node, read from a YAML file.
 
-use std::fs;
 use std::net;
 use std::path;
 use std::time::Duration;
@@ -9,6 +8,9 @@
 use model::id;
 use serde::{Deserialize, Serialize};
 
+use crate::common::logging;
+use crate::common::settings;
+
 /// Length of a SHA-256 hash in hexadecimal digits.
 const HASH_DIGITS: usize = 64;
 
@@ -40,7 +42,7 @@
     pub limits: Limits,
     /// What is logged.
     #[serde(default)]
-    pub log: Level,
+    pub log: logging::Level,
 }
 
 /// Where a node's three servers listen.
@@ -113,21 +115,6 @@
     }
 }
 
-/// The least important events that are logged.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Level {
-    /// Failures of the node itself.
-    Error,
-    /// Faults of others that change what the node does.
-    Warn,
-    /// Changes of configuration, membership and standing.
-    #[default]
-    Info,
-    /// Every request too.
-    Debug,
-}
-
 impl Settings {
     /// Reads and checks a file.
     ///
@@ -135,12 +122,7 @@
     ///
     /// Fails with the file, the line and the field at fault.
     pub fn read(file: &path::Path) -> anyhow::Result<Self> {
-        let name = file.display().to_string();
-        let text = fs::read_to_string(file)
-            .map_err(|error| anyhow::anyhow!("cannot read settings {name}: {error}"))?;
-        let settings: Self = document::read(&name, &text)?;
-        settings.check(&name)?;
-        Ok(settings)
+        settings::read(file, Self::check)
     }
 
     /// Checks what the types do not say.
@@ -149,12 +131,7 @@
     ///
     /// Fails at the first field that breaks a rule.
     pub fn check(&self, file: &str) -> Result<(), document::Fault> {
-        let fault = |field: &str, message: &str| document::Fault {
-            file: file.to_owned(),
-            line: None,
-            field: field.to_owned(),
-            message: message.to_owned(),
-        };
+        let fault = |field: &str, message: &str| settings::fault(file, field, message);
         let name_rule = "expected 1 to 63 letters, digits, `-`, `_` or `.`";
         let names = [
             ("node", self.node.as_str()),
--- a/crates/node/tests/forms_settings.rs
+++ b/crates/node/tests/forms_settings.rs
@@ -8,6 +8,7 @@
 
 use model::bounds;
 use model::id;
+use node::common::logging;
 use node::gateway::settings as gateway_settings;
 use node::owner::settings as node_settings;
 
@@ -53,7 +54,7 @@
     assert_eq!(settings.limits.head_time, Duration::from_millis(1_500));
     assert_eq!(settings.limits.lookup_cache, Duration::from_millis(250));
     assert_eq!(settings.limits.stop_time, Duration::from_secs(120));
-    assert_eq!(settings.log, node_settings::Level::Debug);
+    assert_eq!(settings.log, logging::Level::Debug);
 }
 
 #[test]
@@ -67,7 +68,7 @@
     assert_eq!(settings.limits.head_time, Duration::from_secs(5));
     assert_eq!(settings.limits.lookup_cache, Duration::from_secs(5));
     assert_eq!(settings.limits.stop_time, Duration::from_secs(60));
-    assert_eq!(settings.log, node_settings::Level::Info);
+    assert_eq!(settings.log, logging::Level::Info);
 }
 
 #[test]
@@ -97,7 +98,7 @@
         greatest_shift: 0.15,
     };
     assert_eq!(settings.bounds(), expected);
-    assert_eq!(settings.log, node_settings::Level::Warn);
+    assert_eq!(settings.log, logging::Level::Warn);
 }
 
 #[test]
@@ -117,19 +118,19 @@
         greatest_shift: 0.1,
     };
     assert_eq!(settings.bounds(), expected);
-    assert_eq!(settings.log, node_settings::Level::Info);
+    assert_eq!(settings.log, logging::Level::Info);
 }
 
 #[test]
 fn levels_of_the_log_are_words() {
     let levels = [
-        ("error", node_settings::Level::Error),
-        ("warn", node_settings::Level::Warn),
-        ("info", node_settings::Level::Info),
-        ("debug", node_settings::Level::Debug),
+        ("error", logging::Level::Error),
+        ("warn", logging::Level::Warn),
+        ("info", logging::Level::Info),
+        ("debug", logging::Level::Debug),
     ];
     for (word, level) in levels {
-        let read: node_settings::Level = serde_yaml_ng::from_str(word).expect("a level");
+        let read: logging::Level = serde_yaml_ng::from_str(word).expect("a level");
         assert_eq!(read, level);
     }
 }
@@ -206,7 +207,7 @@
     assert!(gateway_settings::Settings::is_gateway(&text));
     let rendered = gateway_settings::Settings::read(&file).expect("the settings are valid");
     let mut expected = read_gateway("gateway-every-field.yaml");
-    expected.log = node_settings::Level::Info;
+    expected.log = logging::Level::Info;
     assert_eq!(rendered, expected);
 }
 
