--- a/crates/node/src/gateway/control.rs
+++ b/crates/node/src/gateway/control.rs
@@ -8,6 +8,9 @@
 use http::{Request, Response, StatusCode, header};
 use http_body_util::Full;
 use hyper::body::Incoming;
+use model::id;
+use steer::dispatch::dispatcher;
+use steer::dispatch::upstream;
 
 use crate::gateway::peer;
 use crate::gateway::state;
@@ -48,33 +51,6 @@
 fn dump(state: &state::State) -> Vec<u8> {
     let now = Instant::now();
     let dispatcher = state.dispatcher.borrow();
-    let upstreams: Vec<serde_json::Value> = dispatcher
-        .upstreams()
-        .map(|u| {
-            serde_json::json!({
-                "id": u.entry.id.as_str(),
-                "service": u.entry.service.as_str(),
-                "address": u.entry.address.to_string(),
-                "hall": u.entry.hall.as_str(),
-                "usable": u.is_usable(),
-                "cold": u.slow_start.is_cold(now),
-                "ejected": u.health.is_ejected(now),
-                "in_flight": u.load.in_flight(),
-                "requests": u.load.requests(now),
-                "failures": u.health.failure_rate(now),
-            })
-        })
-        .collect();
-    let splits: Vec<serde_json::Value> = dispatcher
-        .splits()
-        .map(|(service, split)| {
-            let parts: serde_json::Map<String, serde_json::Value> = split
-                .parts()
-                .map(|(region, part)| (region.as_str().to_owned(), part.into()))
-                .collect();
-            serde_json::json!({ "service": service.as_str(), "millionths": parts })
-        })
-        .collect();
     let members = state.members.borrow();
     let alive: Vec<&str> = members.alive(now).map(|m| m.node.as_str()).collect();
     let replica = state.replica.borrow();
@@ -84,8 +60,8 @@
         "revision": replica.at(),
         "config_version": state.routing().map(|r| r.version),
         "peers_alive": alive,
-        "splits": splits,
-        "upstreams": upstreams,
+        "splits": splits(&dispatcher),
+        "upstreams": upstreams(&dispatcher, now),
     });
     serde_json::to_vec_pretty(&dump).unwrap_or_else(|error| {
         log_not_written("dump", &error);
@@ -93,6 +69,33 @@
     })
 }
 
+fn upstreams(dispatcher: &dispatcher::Dispatcher, now: Instant) -> Vec<serde_json::Value> {
+    let upstream = |u: &upstream::Upstream| {
+        serde_json::json!({
+            "id": u.entry.id.as_str(),
+            "service": u.entry.service.as_str(),
+            "address": u.entry.address.to_string(),
+            "hall": u.entry.hall.as_str(),
+            "usable": u.is_usable(),
+            "cold": u.slow_start.is_cold(now),
+            "ejected": u.health.is_ejected(now),
+            "in_flight": u.load.in_flight(),
+            "requests": u.load.requests(now),
+            "failures": u.health.failure_rate(now),
+        })
+    };
+    dispatcher.upstreams().map(upstream).collect()
+}
+
+fn splits(dispatcher: &dispatcher::Dispatcher) -> Vec<serde_json::Value> {
+    let part = |(region, part): (&id::Region, u32)| (region.as_str().to_owned(), part.into());
+    let splits = dispatcher.splits().map(|(service, split)| {
+        let parts: serde_json::Map<String, serde_json::Value> = split.parts().map(part).collect();
+        serde_json::json!({ "service": service.as_str(), "millionths": parts })
+    });
+    splits.collect()
+}
+
 /// Logs an answer that could not be encoded, which would be a bug: all of it is this node's own.
 fn log_not_written(answer: &str, error: &dyn std::error::Error) {
     let error = error.to_string();
--- a/crates/node/src/gateway/declarations.rs
+++ b/crates/node/src/gateway/declarations.rs
@@ -1,4 +1,6 @@
 //! Follows yokespoke's own declarations in the store, in place of the platform's items.
+//!
+//! Owns the watch and the change from declarations to what the dispatcher uses.
 
 use std::collections;
 use std::rc;
@@ -18,13 +20,13 @@
 use crate::common::store::edge::Store as _;
 use crate::gateway::state;
 
-/// Longest time one watch waits.
+/// Longest time one watch waits. Not measured.
 const WAIT: Duration = Duration::from_secs(25);
 
-/// Time between two looks at drains, which begin and end by the time of day.
+/// Period at which drains are checked, which begin and end by the time of day. Not measured.
 const DRAIN_LOOK: Duration = Duration::from_secs(1);
 
-/// Pause after a call that failed.
+/// Pause after a call that failed. Not measured.
 const PAUSE: Duration = Duration::from_secs(1);
 
 /// Follows the declarations until the task ends.
--- a/crates/node/src/gateway/extracts.rs
+++ b/crates/node/src/gateway/extracts.rs
@@ -1,5 +1,6 @@
-//! Extracts of the store's copy as other nodes get them: compressed, and kept while many nodes ask for
-//! the same.
+//! Extracts of the store's copy as other nodes get them: compressed when long, and cached.
+//!
+//! Owns the encoding and a small cache, since many nodes ask for the same changes at once.
 
 use std::collections;
 use std::io::{self, Read as _, Write as _};
@@ -9,19 +10,20 @@
 
 use crate::gateway::replica;
 
-/// Extracts that are kept.
+/// Extracts that are cached; nodes that are behind ask from a few revisions. Not measured.
 const MOST_KEPT: usize = 4;
 
-/// Largest extract after decompression, in bytes.
+/// Largest extract after decompression, in bytes, so that a small answer cannot fill the memory. Not
+/// measured.
 const LARGEST: u64 = 64 * 1_024 * 1_024;
 
-/// Length from which extracts are compressed, in bytes; for shorter ones it costs more than it saves.
+/// Length from which extracts are compressed, in bytes. Not measured.
 const SMALLEST_COMPRESSED: usize = 16 * 1_024;
 
 /// First bytes of what is compressed (RFC 1952, section 2.3.1).
 const COMPRESSED: [u8; 2] = [0x1f, 0x8b];
 
-/// An extract, and the revisions between which it tells changes.
+/// An extract, and the revisions between which it holds the changes.
 #[derive(Clone, Debug)]
 struct Kept {
     after: u64,
--- a/crates/node/src/gateway/metrics.rs
+++ b/crates/node/src/gateway/metrics.rs
@@ -4,8 +4,11 @@
 
 use std::cell;
 use std::fmt::Write as _;
+use std::sync::atomic;
 use std::time::Duration;
 
+use crate::common::logging;
+
 /// Largest latency that the histogram distinguishes, in microseconds: a minute. Not measured.
 const LONGEST_MICROS: u64 = 60_000_000;
 
@@ -44,11 +47,25 @@
 }
 
 impl Latencies {
-    /// Notes one request's time.
+    /// Records one request's time.
     pub fn record(&self, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         self.0.borrow_mut().saturating_record(micros);
     }
+
+    /// Writes the quantiles, in seconds, and the count.
+    fn write(&self, text: &mut String) {
+        // Writing to a string cannot fail, so the results are ignored.
+        let _ = writeln!(text, "# TYPE yokespoke_latency_seconds summary");
+        let histogram = self.0.borrow();
+        for quantile in QUANTILES {
+            let latency = Duration::from_micros(histogram.value_at_quantile(quantile));
+            let seconds = latency.as_secs_f64();
+            let _ =
+                writeln!(text, "yokespoke_latency_seconds{{quantile=\"{quantile}\"}} {seconds}");
+        }
+        let _ = writeln!(text, "yokespoke_latency_seconds_count {}", histogram.len());
+    }
 }
 
 /// Figures of a gateway.
@@ -64,15 +81,15 @@
     pub failed: Counter,
     /// Requests on no route.
     pub unrouted: Counter,
-    /// Requests whose caller left.
+    /// Requests whose caller left before the answer.
     pub abandoned: Counter,
     /// Tries at upstreams.
     pub tries: Counter,
     /// Tries beyond the first.
     pub retries: Counter,
-    /// Tries that an upstream turned away.
+    /// Tries that an upstream refused without running the request.
     pub turned_away: Counter,
-    /// Tries that broke.
+    /// Tries without an answer to the request, which may have run.
     pub broken: Counter,
     /// New connections to upstreams.
     pub connections: Counter,
@@ -84,17 +101,16 @@
     pub control_bytes: Counter,
     /// Copies of the store fetched from other nodes.
     pub peer_fetches: Counter,
-    /// Items of the store that could not be understood.
+    /// Items of the store that could not be read.
     pub malformed_items: Counter,
     /// Time from a request to the end of its answer.
     pub latency: Latencies,
 }
 
 impl Metrics {
-    /// Writes all figures.
-    #[must_use]
-    pub fn text(&self) -> String {
-        let counters = [
+    /// Returns every counter with its name, in the order in which they are written.
+    fn counters(&self) -> [(&'static str, &Counter); 16] {
+        [
             ("requests", &self.requests),
             ("answered", &self.answered),
             ("refused", &self.refused),
@@ -111,25 +127,26 @@
             ("control_bytes", &self.control_bytes),
             ("peer_fetches", &self.peer_fetches),
             ("malformed_items", &self.malformed_items),
-        ];
+        ]
+    }
+
+    /// Writes all figures.
+    #[must_use]
+    pub fn text(&self) -> String {
         let mut text = String::new();
-        for (name, counter) in counters {
-            // Writing to a string cannot fail, here and below.
-            let _ = writeln!(text, "# TYPE yokespoke_{name}_total counter");
-            let _ = writeln!(text, "yokespoke_{name}_total {}", counter.get());
+        for (name, counter) in self.counters() {
+            write_counter(&mut text, name, counter.get());
         }
-        let dropped = crate::common::logging::dropped().load(std::sync::atomic::Ordering::Relaxed);
-        let _ = writeln!(text, "# TYPE yokespoke_log_lines_dropped_total counter");
-        let _ = writeln!(text, "yokespoke_log_lines_dropped_total {dropped}");
-        let _ = writeln!(text, "# TYPE yokespoke_latency_seconds summary");
-        let histogram = self.latency.0.borrow();
-        for quantile in QUANTILES {
-            let seconds = Duration::from_micros(histogram.value_at_quantile(quantile));
-            let seconds = seconds.as_secs_f64();
-            let _ =
-                writeln!(text, "yokespoke_latency_seconds{{quantile=\"{quantile}\"}} {seconds}");
-        }
-        let _ = writeln!(text, "yokespoke_latency_seconds_count {}", histogram.len());
+        let dropped = logging::dropped().load(atomic::Ordering::Relaxed);
+        write_counter(&mut text, "log_lines_dropped", dropped);
+        self.latency.write(&mut text);
         text
     }
 }
+
+// Writing to a string cannot fail, so the results below are ignored.
+
+fn write_counter(text: &mut String, name: &str, count: u64) {
+    let _ = writeln!(text, "# TYPE yokespoke_{name}_total counter");
+    let _ = writeln!(text, "yokespoke_{name}_total {count}");
+}
--- a/crates/node/src/gateway/peer.rs
+++ b/crates/node/src/gateway/peer.rs
@@ -1,4 +1,6 @@
-//! The client side of what nodes ask each other: changes to their copies of the store.
+//! The client of other nodes: fetches changes of their copies of the store.
+//!
+//! Owns the call and its bounds; [`extracts`] decodes the answer.
 
 use std::net;
 use std::time::Duration;
@@ -13,13 +15,13 @@
 
 use crate::gateway::extracts;
 
-/// Path at which a node tells its copy; the query is the revision to start after.
+/// Path of the changes of a node's copy; the query is the revision to start after.
 pub const CHANGES: &str = "/peer/changes";
 
-/// Longest time an exchange may take.
+/// Longest time an exchange may take. Not measured.
 const EXCHANGE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Largest answer that is read, in bytes.
+/// Largest answer that is read, in bytes. Not measured.
 const LARGEST_ANSWER: usize = 16 * 1_024 * 1_024;
 
 /// Fetches what has changed after `after` from the node at `peer`.
--- a/crates/node/src/gateway/process.rs
+++ b/crates/node/src/gateway/process.rs
@@ -14,6 +14,7 @@
 use crate::gateway::declarations;
 use crate::gateway::heartbeat;
 use crate::gateway::loads;
+use crate::gateway::proxy::listener;
 use crate::gateway::proxy::pool;
 use crate::gateway::proxy::server;
 use crate::gateway::registration;
@@ -76,7 +77,7 @@
         );
         let mut tasks = follow(&state, source);
         tasks.extend([
-            task::spawn_local(server::serve(proxy, callers)),
+            task::spawn_local(listener::serve(proxy, callers)),
             task::spawn_local(control_server::serve(rc::Rc::clone(&state), ready)),
             task::spawn_local(control_server::serve(rc::Rc::clone(&state), directory)),
             task::spawn_local(control_server::serve(rc::Rc::clone(&state), peers)),
--- a/crates/node/src/gateway/proxy/exchange.rs
+++ b/crates/node/src/gateway/proxy/exchange.rs
@@ -1,4 +1,6 @@
 //! One exchange with an upstream: a request, and the whole answer to it.
+//!
+//! Owns the order of the checks on an answer; relies on [`execution`] for what it proves.
 
 use std::time::Duration;
 
@@ -18,13 +20,14 @@
 /// Header by which an upstream says how long it keeps a resting connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Largest answer that is read whole before it is passed on, in bytes.
+/// Largest answer that is read whole before it is passed on, in bytes; the rest of a larger one is
+/// streamed. Not measured.
 const LARGEST_KEPT: usize = 512 * 1_024;
 
-/// Rest of a connection whose upstream does not say how long it keeps one.
+/// Time that a connection may rest whose upstream names no limit. Not measured.
 const USUAL_REST: Duration = Duration::from_secs(4);
 
-/// Time before an upstream closes a resting connection at which it is no longer used.
+/// Time before an upstream's limit from which a resting connection is no longer used. Not measured.
 const REST_MARGIN: Duration = Duration::from_millis(1_200);
 
 /// How an exchange ended without an answer to the request.
@@ -32,16 +35,16 @@
 pub enum Failure {
     /// Nothing was sent.
     NotSent(String),
-    /// It was sent, and what became of it is not known.
+    /// It was sent, and may have run.
     Broken(String),
 }
 
 /// The body of an answer.
 #[derive(Debug)]
 pub enum Payload {
-    /// All of them.
+    /// All of it.
     Whole(Bytes),
-    /// The first of them; the rest is still arriving.
+    /// Its beginning; the rest is still arriving.
     Partial(Bytes, Incoming),
 }
 
--- a/crates/node/src/gateway/proxy/mod.rs
+++ b/crates/node/src/gateway/proxy/mod.rs
@@ -6,6 +6,7 @@
 pub mod exchange;
 pub mod handler;
 pub mod head;
+pub mod listener;
 pub mod pool;
 pub mod relay;
 pub mod request_body;
--- a/crates/node/src/gateway/proxy/pool.rs
+++ b/crates/node/src/gateway/proxy/pool.rs
@@ -1,4 +1,6 @@
 //! Connections to upstreams that rest until they are used again.
+//!
+//! Owns resting connections and their bounds; what does not fit is closed.
 
 use std::cell;
 use std::collections;
@@ -8,10 +10,11 @@
 
 use crate::gateway::proxy::connection;
 
-/// Most connections that rest for one upstream.
+/// Most connections that rest for one upstream. Not measured.
 const MOST_RESTING: usize = 16;
 
-/// Most connections that rest for all upstreams, so that descriptors are left for callers.
+/// Most connections that rest for all upstreams, so that descriptors are left for callers. Not
+/// measured.
 const MOST_RESTING_IN_ALL: usize = 1_000;
 
 /// Connections to upstreams that rest.
--- a/crates/node/src/gateway/proxy/relay.rs
+++ b/crates/node/src/gateway/proxy/relay.rs
@@ -1,4 +1,6 @@
 //! Passes an upstream's answer on to the caller.
+//!
+//! Owns the task that streams what is too long to be read whole first.
 
 use std::io;
 
@@ -14,7 +16,7 @@
 use crate::gateway::proxy::connection;
 use crate::gateway::proxy::head;
 
-/// Pieces of a body that wait for the caller.
+/// Pieces of a body that wait for the caller; when they are full the upstream waits. Not measured.
 const WAITING: usize = 4;
 
 /// Makes the caller's answer of an upstream's head and body.
--- a/crates/node/src/gateway/proxy/request_body.rs
+++ b/crates/node/src/gateway/proxy/request_body.rs
@@ -1,4 +1,6 @@
-//! Requests' bodies, read before they are sent on, so that a refused one can be sent again.
+//! Bodies of requests, read before they are sent on, so that they can be sent again.
+//!
+//! Owns the bounds on what is buffered, which fall when many requests are in flight.
 
 use bytes::{Bytes, BytesMut};
 use http_body::Body as _;
@@ -7,13 +9,14 @@
 
 use crate::common::body;
 
-/// Largest body that is read whole before it is sent on, in bytes.
+/// Largest body that is read whole before it is sent on, in bytes. Not measured.
 const LARGEST_KEPT: usize = 1_024 * 1_024;
 
-/// Largest body that is read whole while many others are kept, in bytes.
+/// Largest body that is read whole while many requests are in flight, in bytes. Not measured.
 const LARGEST_KEPT_IN_CROWD: usize = 64 * 1_024;
 
-/// Requests in flight from which only small bodies are kept, so that memory stays bounded.
+/// Requests in flight above which only small bodies are buffered, so that memory stays bounded. Not
+/// measured.
 const CROWD: usize = 64;
 
 /// Why a body could not be read.
@@ -21,7 +24,7 @@
 pub enum Fault {
     /// It is larger than callers may send.
     TooLarge,
-    /// It broke off.
+    /// It ended before its declared end.
     Cut,
 }
 
@@ -37,7 +40,7 @@
 }
 
 impl Body {
-    /// Reads a body, whole if it is not too large to keep beside those of the other requests
+    /// Reads a body, whole if it is not too large to buffer beside those of the requests
     /// `in_flight`.
     ///
     /// # Errors
--- a/crates/node/src/gateway/proxy/server.rs
+++ b/crates/node/src/gateway/proxy/server.rs
@@ -1,35 +1,15 @@
-//! The server of callers' connections.
+//! What the tasks that serve callers share: state, connections to upstreams, and what is open.
 //!
-//! Owns them and the counts of what is open; what is answered is up to [`handler`].
+//! Owns the counts of open connections and requests, which a planned stop waits for.
 
 use std::cell;
-use std::convert;
 use std::rc;
-use std::time::Duration;
 
-use hyper::server::conn::http1;
-use hyper::service::service_fn;
-use hyper_util::rt;
-use model::routing;
-use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::gateway::proxy::handler;
 use crate::gateway::proxy::pool;
 use crate::gateway::state;
 
-/// Pause after a failure to accept, such as too many open files. Not measured.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-
-/// Most callers' connections at once, so that descriptors are left for upstreams. Not measured.
-const MOST_CONNECTIONS: usize = 2_000;
-
-/// Smallest buffer that the HTTP library takes, in bytes.
-const SMALLEST_BUFFER: usize = 8_192;
-
-/// Time after which bytes that a caller does not acknowledge end its connection. Not measured.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_secs(5);
-
 /// What callers have open.
 #[derive(Debug, Default)]
 pub struct Open {
@@ -57,7 +37,9 @@
         Guard { open: rc::Rc::clone(self), is_request: true }
     }
 
-    fn connection(self: &rc::Rc<Self>) -> Guard {
+    /// Counts a connection until the guard is dropped.
+    #[must_use]
+    pub fn connection(self: &rc::Rc<Self>) -> Guard {
         self.connections.set(self.connections.get() + 1);
         Guard { open: rc::Rc::clone(self), is_request: false }
     }
@@ -80,7 +62,7 @@
     }
 }
 
-/// What the server of callers' connections works with.
+/// What the tasks that serve callers share.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// What the gateway's tasks share.
@@ -89,7 +71,8 @@
     pub pool: rc::Rc<pool::Pool>,
     /// What callers have open.
     pub open: rc::Rc<Open>,
-    close: watch::Receiver<bool>,
+    /// Turns true when connections are to end after their requests.
+    pub close: watch::Receiver<bool>,
 }
 
 impl Server {
@@ -104,61 +87,3 @@
         Self { state, pool, open, close }
     }
 }
-
-/// Accepts callers' connections until the task ends.
-pub async fn serve(server: Server, listener: TcpListener) {
-    let mut close = server.close.clone();
-    loop {
-        let accepted = tokio::select! {
-            accepted = listener.accept() => accepted,
-            _ = close.wait_for(|close| *close) => return,
-        };
-        let (stream, _) = match accepted {
-            Ok(accepted) => accepted,
-            Err(error) => {
-                let error = error.to_string();
-                log::debug!(error = error.as_str(); "accept-failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
-                continue;
-            }
-        };
-        if server.open.connections() >= MOST_CONNECTIONS {
-            log::warn!(connections = server.open.connections(); "connection-refused");
-            continue;
-        }
-        let guard = server.open.connection();
-        let server = server.clone();
-        tokio::task::spawn_local(async move {
-            connection(server, stream).await;
-            drop(guard);
-        });
-    }
-}
-
-async fn connection(server: Server, stream: TcpStream) {
-    // Both fail on a connection that has ended already, which shows when it is read.
-    let _ = stream.set_nodelay(true);
-    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIME));
-    let limits = server.state.routing().map_or_else(routing::CallerLimits::default, |r| r.limits);
-    let mut close = server.close.clone();
-    let service = service_fn(|request| {
-        let server = server.clone();
-        async move { Ok::<_, convert::Infallible>(handler::handle(&server, request).await) }
-    });
-    let mut builder = http1::Builder::new();
-    builder
-        .timer(rt::TokioTimer::new())
-        // The library counts a connection's rest toward the head's time.
-        .header_read_timeout(limits.idle_time.max(limits.head_time))
-        .max_buf_size(limits.head_bytes.max(SMALLEST_BUFFER));
-    let connection = builder.serve_connection(rt::TokioIo::new(stream), service);
-    tokio::pin!(connection);
-    tokio::select! {
-        // A caller that leaves or sends no HTTP ends its own connection only; the requests that this
-        // cuts off are logged by their traces.
-        _ = connection.as_mut() => return,
-        _ = close.wait_for(|close| *close) => connection.as_mut().graceful_shutdown(),
-    }
-    // As above.
-    let _ = connection.await;
-}
--- a/crates/node/src/gateway/thread.rs
+++ b/crates/node/src/gateway/thread.rs
@@ -1,4 +1,6 @@
 //! A gateway on a thread of its own, for programs that run several.
+//!
+//! Owns the thread and its runtime.
 
 use std::io;
 use std::thread;
