--- a/crates/node/src/gateway/declarations.rs
+++ b/crates/node/src/gateway/declarations.rs
@@ -83,7 +83,7 @@
     let active: Vec<&drain::Drain> =
         snapshot.drains.values().map(|d| &*d.spec).filter(|d| d.is_on(wall)).collect();
     let halls = snapshot.evacuations.values().map(|e| e.spec.hall.clone()).collect();
-    state.adopt(state::News {
+    state.adopt(state::Update {
         source: state::Source::Declarations,
         revision: snapshot.revision.0,
         routing: Some(sync::Arc::new(routing(snapshot))),
--- a/crates/node/src/gateway/heartbeat.rs
+++ b/crates/node/src/gateway/heartbeat.rs
@@ -1,4 +1,7 @@
-//! Heartbeats: datagrams by which nodes tell each other that they are alive and what they know.
+//! Heartbeats: datagrams by which nodes report that they are alive and which revision they have.
+//!
+//! Owns the tasks that send and receive them, and the one that fetches changes when a heartbeat shows that
+//! this node is behind. Relies on [`steer::dispatch::fleet`] for periods and for which nodes are asked.
 
 use std::collections;
 use std::net;
@@ -6,6 +9,7 @@
 use std::time::{Duration, Instant};
 
 use rand::RngExt as _;
+use steer::dispatch::fleet::catch_up;
 use tokio::net::UdpSocket;
 
 use crate::gateway::datagram;
@@ -14,22 +18,16 @@
 use crate::gateway::peer;
 use crate::gateway::state;
 
-/// Time for which a node waits for the store's news before it asks a node that has them.
-const PATIENCE: Duration = Duration::from_millis(700);
+/// Pause after a failed receive, so that a lasting failure does not spin. Not measured.
+const RECEIVE_PAUSE: Duration = Duration::from_millis(200);
 
-/// Time in which news gather before another node is asked for them.
-const GATHER: Duration = Duration::from_millis(100);
-
-/// Pause after a node that was asked did not answer.
-const PAUSE: Duration = Duration::from_millis(200);
-
-/// Largest datagram that is read, in bytes.
+/// Largest datagram that is read, in bytes. Not measured; above any heartbeat or load report.
 const LARGEST: usize = 16_384;
 
 /// Sends heartbeats until the task ends.
 pub async fn send(state: rc::Rc<state::State>, socket: rc::Rc<UdpSocket>) {
     loop {
-        beat(&state, &socket).await;
+        send_once(&state, &socket).await;
         let period = state.members.borrow().period();
         tokio::select! {
             () = tokio::time::sleep(period) => {}
@@ -38,14 +36,14 @@
     }
 }
 
-async fn beat(state: &state::State, socket: &UdpSocket) {
+async fn send_once(state: &state::State, socket: &UdpSocket) {
     let datagram = {
         let mut me = state.me.borrow_mut();
         me.sequence += 1;
         datagram::write(&me)
     };
     for address in addresses(state) {
-        // A datagram that cannot be sent is one that was lost.
+        // As good as a lost datagram: the next heartbeat replaces it.
         let _ = socket.send_to(&datagram, address).await;
         state.metrics.heartbeats.add(1);
         state.metrics.control_bytes.add(datagram.len() as u64);
@@ -60,7 +58,7 @@
     let (members, me) = (state.members.borrow(), state.me.borrow());
     let now = Instant::now();
     let mut addresses = members.addresses(&me.node, me.sequence, now);
-    // Seeds are for finding the others; afterwards they are nodes like any other.
+    // Seeds help to find the others; afterwards they are nodes like any other.
     if members.alive(now).count() < settings.seeds.len() {
         addresses.extend(settings.seeds.iter().copied());
     }
@@ -73,7 +71,7 @@
     let mut buffer = vec![0; LARGEST];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RECEIVE_PAUSE).await;
             continue;
         };
         let datagram = &buffer[..length];
@@ -89,7 +87,7 @@
         if member.at > state.replica.borrow().at() {
             state.behind.notify_one();
         }
-        let is_new = state.members.borrow_mut().hear(member, Instant::now());
+        let is_new = state.members.borrow_mut().record(member, Instant::now());
         if is_new {
             log::info!(peer = name.as_str(); "peer-alive");
             state.update_nodes();
@@ -97,13 +95,13 @@
     }
 }
 
-/// Asks other nodes for what they know of the store and this node does not.
-pub async fn catch_up(state: rc::Rc<state::State>) {
+/// Fetches changes of the store from other nodes while this one is behind, until the task ends.
+pub async fn fetch_changes(state: rc::Rc<state::State>) {
     let mut behind_since: Option<Instant> = None;
     loop {
         tokio::select! {
-            () = tokio::time::sleep(PAUSE) => {}
-            () = state.behind.notified() => tokio::time::sleep(GATHER).await,
+            () = tokio::time::sleep(catch_up::CHECK_PERIOD) => {}
+            () = state.behind.notified() => tokio::time::sleep(catch_up::GATHER).await,
         }
         let sources = sources(&state);
         if sources.is_empty() {
@@ -112,9 +110,8 @@
         }
         let now = Instant::now();
         let since = *behind_since.get_or_insert(now);
-        // A node that watches the store will mostly hear of news by itself.
-        let is_patient = state.replica.borrow().is_complete() && state.should_watch();
-        if is_patient && now.saturating_duration_since(since) < PATIENCE {
+        let behind = now.saturating_duration_since(since);
+        if !catch_up::is_due(standing(&state), state.should_watch(), behind) {
             continue;
         }
         // Any of them: the nodes of a region are behind together, and one alone could not serve all.
@@ -123,28 +120,32 @@
     }
 }
 
-/// Returns the nodes that know more than this one, those of its region if there are any; the seeds
-/// while this one knows nothing.
+fn standing(state: &state::State) -> catch_up::Standing {
+    catch_up::Standing {
+        is_complete: state.replica.borrow().is_complete(),
+        is_store_reached: state.is_store_reached(),
+    }
+}
+
+/// Returns the nodes that may be asked for changes; none when this node is not behind.
 fn sources(state: &state::State) -> Vec<(net::SocketAddr, state::Source)> {
-    let replica = state.replica.borrow();
+    let at = state.replica.borrow().at();
     let members = state.members.borrow();
     let me = state.me.borrow();
-    let newer: Vec<&member::Member> =
-        members.alive(Instant::now()).filter(|m| m.at > replica.at()).collect();
-    let near: Vec<_> = newer
-        .iter()
-        .filter(|m| m.region == me.region)
-        .map(|m| (m.peers, state::Source::NearPeer))
-        .collect();
-    if !near.is_empty() {
-        return near;
-    }
-    if newer.is_empty() && !replica.is_complete() && !me.is_store_reached {
-        let settings = state.settings.borrow();
-        let others = settings.seeds.iter().copied().filter(|seed| *seed != me.peers);
-        return others.map(|seed| (seed, state::Source::FarPeer)).collect();
+    let ahead = members.alive(Instant::now()).filter(|m| m.at > at);
+    let (near, far): (Vec<&member::Member>, Vec<&member::Member>) =
+        ahead.partition(|m| m.region == me.region);
+    let from =
+        |members: Vec<&member::Member>, source| members.iter().map(|m| (m.peers, source)).collect();
+    match catch_up::sources(near.len(), far.len(), standing(state)) {
+        catch_up::Sources::Near => from(near, state::Source::NearPeer),
+        catch_up::Sources::Far => from(far, state::Source::FarPeer),
+        catch_up::Sources::Seeds => {
+            let settings = state.settings.borrow();
+            let others = settings.seeds.iter().copied().filter(|seed| *seed != me.peers);
+            others.map(|seed| (seed, state::Source::FarPeer)).collect()
+        }
     }
-    newer.iter().map(|m| (m.peers, state::Source::FarPeer)).collect()
 }
 
 async fn fetch(state: &state::State, source: net::SocketAddr, kind: state::Source) {
@@ -154,7 +155,7 @@
         Ok(extract) => {
             let is_newer = extract.page.at > state.replica.borrow().at();
             if is_newer {
-                state.learn(kind, |replica| replica.merge_extract(extract));
+                state.apply(kind, |replica| replica.merge_extract(extract));
             }
         }
         Err(error) => {
--- a/crates/node/src/gateway/loads.rs
+++ b/crates/node/src/gateway/loads.rs
@@ -1,88 +1,84 @@
-//! Loads: datagrams by which nodes tell each other what they have in flight.
+//! Load reports: datagrams by which nodes report their requests in flight to each other.
+//!
+//! Owns the format of the datagram. Relies on [`steer::dispatch::fleet`] for the period and for who reports
+//! to whom, and on the dispatcher for the counts.
 
 use std::net;
 use std::rc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 use model::id;
 use prost::Message as _;
+use steer::dispatch::fleet::gossip;
+use steer::dispatch::fleet::representatives;
 use steer::dispatch::peer_load;
 use tokio::net::UdpSocket;
 use wire::gateway::loads as message;
 
 use crate::gateway::member;
-use crate::gateway::members;
 use crate::gateway::state;
 
-/// Shortest time between two tellings.
-const SHORTEST_PERIOD: Duration = Duration::from_millis(100);
+/// First character of a report that sums several nodes; names of nodes do not begin with it.
+const SUM_MARK: &str = "+";
 
-/// Time between two tellings for each node of the region, so that what a node receives does not grow
-/// with the region.
-const PERIOD_A_NODE: Duration = Duration::from_millis(8);
-
-/// Names of nodes do not begin so; what does stands for the sum of several nodes.
-const SUM: &str = "+";
-
-/// Tells other nodes until the task ends.
+/// Sends load reports until the task ends.
 pub async fn send(state: rc::Rc<state::State>, socket: rc::Rc<UdpSocket>) {
     let mut had_any = false;
     loop {
-        let nodes = u32::try_from(state.members.borrow().near_count()).unwrap_or(u32::MAX);
-        tokio::time::sleep(SHORTEST_PERIOD.max(PERIOD_A_NODE * nodes)).await;
+        let period = gossip::load_report(state.members.borrow().near_count());
+        tokio::time::sleep(period).await;
         let has_any = !state.dispatcher.borrow().in_flight().is_empty();
-        // One empty telling follows the last one that was not.
+        // One empty report follows the last one that was not, so that the others stop counting it.
         if has_any || had_any {
-            tell_own(&state, &socket);
+            report_own(&state, &socket);
         }
         had_any = has_any;
-        relay(&state, &socket);
+        forward_sums(&state, &socket);
     }
 }
 
-/// Tells the nodes of the region what this one has in flight; a speaker tells those of others too.
-fn tell_own(state: &state::State, socket: &UdpSocket) {
+/// Reports this node's load to its region; a representative reports it to those of other regions too.
+fn report_own(state: &state::State, socket: &UdpSocket) {
     let in_flight = state.dispatcher.borrow().in_flight();
     let datagram = encode(&state.me.borrow().node, &in_flight);
     let now = Instant::now();
     let members = state.members.borrow();
     let mut addresses = peers_of(members.near(now));
-    if members.is_speaker(&state.me.borrow().node, now) {
-        addresses.extend(peers_of(members.far_speakers(now).into_iter()));
+    if members.is_representative(&state.me.borrow().node, now) {
+        addresses.extend(peers_of(members.far_representatives(now).into_iter()));
     }
     send_all(state, socket, &datagram, &addresses);
 }
 
-/// As the first speaker, tells other regions' speakers what the rest of this region has in flight, and
-/// the rest of this region what other regions have.
-fn relay(state: &state::State, socket: &UdpSocket) {
+/// As the first representative, forwards the summed load of the rest of its region to other regions'
+/// representatives, and that of other regions to the rest of its region.
+fn forward_sums(state: &state::State, socket: &UdpSocket) {
     let now = Instant::now();
     let members = state.members.borrow();
     let me = state.me.borrow();
-    if !members.is_first_speaker(&me.node, now) {
+    if !members.is_first_representative(&me.node, now) {
         return;
     }
-    let others = members.near(now).filter(|m| !m.is_leaving);
-    let rest: Vec<&member::Member> = others.skip(members::SPEAKERS - 1).collect();
+    let rest: Vec<&member::Member> = representatives::rest(members.staying(now));
     if rest.is_empty() {
         return;
     }
     let of_rest = |node: &id::Node| rest.iter().any(|m| m.node == *node);
-    let far = members.far_speakers(now);
+    let far = members.far_representatives(now);
     let of_far = |node: &id::Node| is_sum(node) || far.iter().any(|m| m.node == *node);
     let dispatcher = state.dispatcher.borrow();
     let rest_load = dispatcher.peer_load(of_rest, now);
     let far_load = dispatcher.peer_load(of_far, now);
     let region = me.region.as_str();
-    let for_far = encode(&id::Node::new(&format!("{SUM}{region}")), &rest_load);
-    let for_rest = encode(&id::Node::new(&format!("{SUM}not-{region}")), &far_load);
+    let for_far = encode(&id::Node::new(&format!("{SUM_MARK}{region}")), &rest_load);
+    let for_rest = encode(&id::Node::new(&format!("{SUM_MARK}not-{region}")), &far_load);
     send_all(state, socket, &for_far, &peers_of(far.into_iter()));
     send_all(state, socket, &for_rest, &peers_of(rest.into_iter()));
 }
 
-/// Returns whether `node` stands for the sum of several.
+/// Returns whether a report of `node` sums several nodes.
 fn is_sum(node: &id::Node) -> bool {
-    node.as_str().starts_with(SUM)
+    node.as_str().starts_with(SUM_MARK)
 }
 
 fn peers_of<'a>(members: impl Iterator<Item = &'a member::Member>) -> Vec<net::SocketAddr> {
@@ -96,7 +92,7 @@
     addresses: &[net::SocketAddr],
 ) {
     for address in addresses {
-        // A datagram that cannot be sent is one that was lost.
+        // As good as a lost datagram: the next report replaces it.
         let _ = socket.try_send_to(datagram, *address);
         state.metrics.control_bytes.add(datagram.len() as u64);
     }
@@ -113,7 +109,7 @@
     datagram
 }
 
-/// Takes what another node tells; a datagram that cannot be read is passed over.
+/// Applies another node's load report. A malformed one is dropped; the next one replaces it.
 pub fn receive(state: &state::State, datagram: &[u8]) {
     let Ok(loads) = message::Loads::decode(datagram) else { return };
     let upstreams = loads.upstreams.into_iter().map(peer_load::Key);
--- a/crates/node/src/gateway/member.rs
+++ b/crates/node/src/gateway/member.rs
@@ -1,11 +1,13 @@
-//! Members: nodes of this fleet, as they tell of themselves.
+//! Member: what a node of this fleet reports of itself.
+//!
+//! Sent in heartbeats, and written into the store as JSON by the names of its fields.
 
 use std::net;
 
 use model::id;
 use serde::{Deserialize, Serialize};
 
-/// What a node tells of itself, in heartbeats and in the store.
+/// What a node reports of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its name.
--- a/crates/node/src/gateway/members.rs
+++ b/crates/node/src/gateway/members.rs
@@ -1,39 +1,24 @@
-//! Which nodes there are, which of them are alive, and which of them this node tells of itself.
+//! Members: the nodes of the fleet as this node knows them, and which of them are alive.
 //!
-//! Nodes of one region tell each other. Between regions only a few nodes of each do, its speakers, so
-//! that what a node sends and receives grows with its region and not with the fleet.
+//! Owns the latest heartbeat of each node and the nodes that the store lists. Relies on
+//! [`steer::dispatch::fleet`] for periods, for when a node counts as dead, and for the representatives of a
+//! region. The tasks that send and receive heartbeats and load reports use it; it performs no I/O.
 
 use std::collections;
 use std::net;
 use std::time::{Duration, Instant};
 
 use model::id;
+use steer::dispatch::fleet::gossip;
+use steer::dispatch::fleet::representatives;
 
 use crate::gateway::member;
 
-/// Nodes of a region that tell those of other regions.
-pub const SPEAKERS: usize = 6;
-
-/// Shortest time between two heartbeats.
-const SHORTEST_PERIOD: Duration = Duration::from_millis(500);
-
-/// Longest time between two heartbeats.
-const LONGEST_PERIOD: Duration = Duration::from_secs(1);
-
-/// Time between two heartbeats for each node of the region, so that what a node receives is bounded.
-const PERIOD_A_NODE: Duration = Duration::from_millis(10);
-
-/// Heartbeats without which a node counts as dead.
-const MISSED: f64 = 3.2;
-
-/// Silence after which a node that is in no list is forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
-
-/// A node, and when it was last heard.
+/// A node, and when its latest heartbeat arrived.
 #[derive(Clone, Debug)]
 struct Known {
     member: member::Member,
-    heard: Instant,
+    received: Instant,
 }
 
 /// A node that the store lists, alive or not.
@@ -51,41 +36,41 @@
 #[derive(Clone, Debug)]
 pub struct Members {
     region: id::Region,
-    heard: collections::BTreeMap<id::Node, Known>,
+    known: collections::BTreeMap<id::Node, Known>,
     listed: collections::BTreeMap<id::Node, Listed>,
     near_count: usize,
 }
 
 impl Members {
-    /// Makes the members as a node of `region` knows them that has heard nobody yet.
+    /// Makes the members of a node of `region` that knows no other yet.
     #[must_use]
     pub fn new(region: id::Region) -> Self {
         Self {
             region,
-            heard: collections::BTreeMap::new(),
+            known: collections::BTreeMap::new(),
             listed: collections::BTreeMap::new(),
             near_count: 0,
         }
     }
 
-    /// Notes a heartbeat; returns whether the node was not alive before.
+    /// Records a heartbeat; returns whether the node was not alive before.
     ///
-    /// A heartbeat that is older than the last one heard is passed over.
-    pub fn hear(&mut self, member: member::Member, now: Instant) -> bool {
-        let before = self.heard.get(&member.node);
+    /// A heartbeat that is older than the latest one changes nothing.
+    pub fn record(&mut self, member: member::Member, now: Instant) -> bool {
+        let before = self.known.get(&member.node);
         let order = |m: &member::Member| (m.incarnation, m.sequence);
         if before.is_some_and(|known| order(&known.member) >= order(&member)) {
             return false;
         }
         let was_alive = before.is_some_and(|known| self.is_alive(known, now));
-        self.heard.insert(member.node.clone(), Known { member, heard: now });
+        self.known.insert(member.node.clone(), Known { member, received: now });
         if !was_alive {
             self.near_count = self.count_near();
         }
         !was_alive
     }
 
-    /// Takes the nodes that the store lists.
+    /// Replaces the nodes that the store lists.
     pub fn set_listed(&mut self, listed: collections::BTreeMap<id::Node, Listed>) {
         self.listed = listed;
         self.near_count = self.count_near();
@@ -99,14 +84,14 @@
     /// Forgets nodes that have long been silent.
     pub fn forget(&mut self, now: Instant) {
         let is_recent =
-            |known: &Known| now.saturating_duration_since(known.heard) < FORGOTTEN_AFTER;
-        self.heard.retain(|_, known| is_recent(known));
+            |known: &Known| now.saturating_duration_since(known.received) < gossip::FORGOTTEN_AFTER;
+        self.known.retain(|_, known| is_recent(known));
         self.near_count = self.count_near();
     }
 
     /// Returns the living nodes.
     pub fn alive(&self, now: Instant) -> impl Iterator<Item = &member::Member> {
-        self.heard.values().filter(move |known| self.is_alive(known, now)).map(|k| &k.member)
+        self.known.values().filter(move |known| self.is_alive(known, now)).map(|k| &k.member)
     }
 
     /// Returns the living nodes of this node's region.
@@ -118,7 +103,7 @@
     #[must_use]
     pub fn count(&self) -> usize {
         let names: collections::BTreeSet<&id::Node> =
-            self.heard.keys().chain(self.listed.keys()).collect();
+            self.known.keys().chain(self.listed.keys()).collect();
         names.len()
     }
 
@@ -129,43 +114,40 @@
     }
 
     fn count_near(&self) -> usize {
-        let heard = self.heard.values().map(|k| (&k.member.node, &k.member.region));
+        let known = self.known.values().map(|k| (&k.member.node, &k.member.region));
         let listed = self.listed.iter().map(|(node, listed)| (node, &listed.region));
-        let near = heard.chain(listed).filter(|(_, region)| **region == self.region);
+        let near = known.chain(listed).filter(|(_, region)| **region == self.region);
         near.map(|(node, _)| node).collect::<collections::BTreeSet<_>>().len()
     }
 
     /// Returns the time between two heartbeats.
     #[must_use]
     pub fn period(&self) -> Duration {
-        let nodes = u32::try_from(self.near_count()).unwrap_or(u32::MAX);
-        PERIOD_A_NODE.saturating_mul(nodes).clamp(SHORTEST_PERIOD, LONGEST_PERIOD)
+        gossip::heartbeat(self.near_count)
     }
 
-    /// Returns whether `me`, this node, tells nodes of other regions.
+    /// Returns whether `me`, this node, represents its region.
     #[must_use]
-    pub fn is_speaker(&self, me: &id::Node, now: Instant) -> bool {
-        self.near(now).filter(|m| !m.is_leaving && m.node < *me).count() < SPEAKERS
+    pub fn is_representative(&self, me: &id::Node, now: Instant) -> bool {
+        representatives::contains(me, self.staying(now).map(|m| &m.node))
     }
 
-    /// Returns whether `me` is the first of its region's speakers.
+    /// Returns whether `me` is the first representative of its region.
     #[must_use]
-    pub fn is_first_speaker(&self, me: &id::Node, now: Instant) -> bool {
-        !self.near(now).any(|m| !m.is_leaving && m.node < *me)
+    pub fn is_first_representative(&self, me: &id::Node, now: Instant) -> bool {
+        representatives::is_first(me, self.staying(now).map(|m| &m.node))
     }
 
-    /// Returns the living speakers of other regions.
+    /// Returns the living nodes of this region that do not leave.
+    pub fn staying(&self, now: Instant) -> impl Iterator<Item = &member::Member> {
+        self.near(now).filter(|member| !member.is_leaving)
+    }
+
+    /// Returns the living representatives of other regions.
     #[must_use]
-    pub fn far_speakers(&self, now: Instant) -> Vec<&member::Member> {
-        let mut by_region: collections::BTreeMap<&id::Region, Vec<&member::Member>> =
-            collections::BTreeMap::new();
-        for member in self.alive(now).filter(|m| m.region != self.region) {
-            let of_region = by_region.entry(&member.region).or_default();
-            if of_region.len() < SPEAKERS {
-                of_region.push(member);
-            }
-        }
-        by_region.into_values().flatten().collect()
+    pub fn far_representatives(&self, now: Instant) -> Vec<&member::Member> {
+        let far = self.alive(now).filter(|m| m.region != self.region);
+        representatives::of_regions(far.map(|m| (&m.region, m)))
     }
 
     /// Returns the addresses to send the `turn`-th heartbeat of `me` to.
@@ -176,44 +158,42 @@
         turn: u64,
         now: Instant,
     ) -> collections::BTreeSet<net::SocketAddr> {
-        let heard = self.heard.values().map(|k| (&k.member.region, k.member.peers));
+        let known = self.known.values().map(|k| (&k.member.region, k.member.peers));
         let listed = self.listed.values().map(|listed| (&listed.region, listed.peers));
-        let near = heard.chain(listed).filter(|(region, _)| **region == self.region);
+        let near = known.chain(listed).filter(|(region, _)| **region == self.region);
         let mut addresses: collections::BTreeSet<_> = near.map(|(_, address)| address).collect();
-        if self.is_speaker(me, now) {
-            addresses.extend(self.far_speakers(now).iter().map(|member| member.peers));
-            addresses.extend(self.unheard(turn, now));
+        if self.is_representative(me, now) {
+            addresses.extend(self.far_representatives(now).iter().map(|member| member.peers));
+            addresses.extend(self.contacts(turn, now));
         }
         addresses
     }
 
-    /// Returns listed nodes of regions whose speakers are not all known, others at each turn.
-    fn unheard(&self, turn: u64, now: Instant) -> Vec<net::SocketAddr> {
-        let mut addresses = Vec::new();
+    /// Returns listed nodes of regions whose representatives are not all known, others at each turn.
+    fn contacts(&self, turn: u64, now: Instant) -> Vec<net::SocketAddr> {
         let regions: collections::BTreeSet<&id::Region> =
             self.listed.values().map(|listed| &listed.region).collect();
-        for region in regions.into_iter().filter(|region| **region != self.region) {
-            let alive: collections::BTreeSet<&id::Node> =
-                self.alive(now).filter(|m| m.region == *region).map(|m| &m.node).collect();
-            let missing = SPEAKERS.saturating_sub(alive.len());
-            let silent: Vec<net::SocketAddr> = self
-                .listed
-                .iter()
-                .filter(|(node, listed)| listed.region == *region && !alive.contains(node))
-                .map(|(_, listed)| listed.peers)
-                .collect();
-            let start = usize::try_from(turn).unwrap_or(0).wrapping_mul(missing);
-            let turned = (0..missing.min(silent.len())).map(|i| start.wrapping_add(i));
-            addresses.extend(turned.map(|index| silent[index % silent.len()]));
-        }
-        addresses
+        let far = regions.into_iter().filter(|region| **region != self.region);
+        far.flat_map(|region| self.contacts_in(region, turn, now)).collect()
+    }
+
+    fn contacts_in(&self, region: &id::Region, turn: u64, now: Instant) -> Vec<net::SocketAddr> {
+        let alive: collections::BTreeSet<&id::Node> =
+            self.alive(now).filter(|m| m.region == *region).map(|m| &m.node).collect();
+        let silent: Vec<net::SocketAddr> = self
+            .listed
+            .iter()
+            .filter(|(node, listed)| listed.region == *region && !alive.contains(node))
+            .map(|(_, listed)| listed.peers)
+            .collect();
+        representatives::contacts(alive.len(), &silent, turn)
     }
 
     fn is_alive(&self, known: &Known, now: Instant) -> bool {
-        let period = match known.member.region == self.region {
-            true => self.period(),
-            false => LONGEST_PERIOD,
+        let dead_after = match known.member.region == self.region {
+            true => gossip::near_dead_after(self.near_count),
+            false => gossip::far_dead_after(),
         };
-        now.saturating_duration_since(known.heard) < period.mul_f64(MISSED)
+        now.saturating_duration_since(known.received) < dead_after
     }
 }
--- a/crates/node/src/gateway/process.rs
+++ b/crates/node/src/gateway/process.rs
@@ -1,4 +1,6 @@
-//! A gateway process: its parts, started together and stopped together.
+//! A gateway process: its tasks, started together and stopped together.
+//!
+//! Owns the listening sockets and the tasks. Relies on [`state`] for what they share.
 
 use std::net;
 use std::rc;
@@ -23,16 +25,16 @@
 use crate::gateway::state;
 use crate::gateway::sync;
 
-/// Longest time for an answer of the store.
+/// Longest time for an answer of the store. Not measured.
 const CALL_TIME: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks at what time alone changes.
+/// Time between two ticks of the dispatcher. Not measured.
 const TICK: Duration = Duration::from_millis(250);
 
-/// Time within which a tick must come; a longer gap means that the process stood still.
+/// Gap between two ticks that shows that the process stood still. Not measured; six ticks.
 const STANDSTILL: Duration = Duration::from_millis(1_500);
 
-/// Ports that are tried when any free one will do, since it must be free for datagrams too.
+/// Ports tried when any free one will do, since it must be free for datagrams too. Not measured.
 const FREE_PORT_TRIES: usize = 16;
 
 /// A running gateway.
@@ -89,7 +91,7 @@
         Ok(Self { state, open, close, tasks })
     }
 
-    /// Takes the settings that may change while the process runs: seeds and bounds.
+    /// Applies the settings that may change while the process runs: seeds and bounds.
     pub fn reload(&self, new: settings::Settings) {
         let mut settings = self.state.settings.borrow_mut();
         let mut changed = (**settings).clone();
@@ -110,7 +112,7 @@
     }
 }
 
-/// Starts what learns configuration and upstreams from their source.
+/// Starts the tasks that follow the source of configuration and upstreams.
 fn follow(state: &rc::Rc<state::State>, source: settings::Source) -> Vec<task::JoinHandle<()>> {
     let state = || rc::Rc::clone(state);
     match source {
@@ -119,7 +121,7 @@
             vec![
                 task::spawn_local(sync::run(state(), client.clone())),
                 task::spawn_local(registration::run(state(), client)),
-                task::spawn_local(heartbeat::catch_up(state())),
+                task::spawn_local(heartbeat::fetch_changes(state())),
             ]
         }
         settings::Source::Declarations(address) => {
--- a/crates/node/src/gateway/proxy/attempt.rs
+++ b/crates/node/src/gateway/proxy/attempt.rs
@@ -1,4 +1,7 @@
-//! One try at an upstream, told to the dispatcher however it ends.
+//! One try at an upstream, reported to the dispatcher however it ends.
+//!
+//! Owns the start time and the crowding of one try. A try that is dropped has ended too, by its deadline or
+//! because its caller left.
 
 use std::rc;
 use std::sync;
@@ -10,7 +13,7 @@
 
 use crate::gateway::state;
 
-/// A try in flight. Dropping it means that the caller left or the request's time was up.
+/// A try in flight. Dropping it ends it as abandoned or timed out.
 #[derive(Debug)]
 pub struct Attempt {
     state: rc::Rc<state::State>,
@@ -19,7 +22,7 @@
     began: Instant,
     crowding: f64,
     deadline: Instant,
-    is_told: bool,
+    is_reported: bool,
 }
 
 impl Attempt {
@@ -40,7 +43,7 @@
             began: now,
             crowding,
             deadline,
-            is_told: false,
+            is_reported: false,
         }
     }
 
@@ -53,11 +56,11 @@
 
     /// Ends the try.
     pub fn end(mut self, outcome: outcome::Outcome) {
-        self.tell(outcome);
+        self.report(outcome);
     }
 
-    fn tell(&mut self, outcome: outcome::Outcome) {
-        if std::mem::replace(&mut self.is_told, true) {
+    fn report(&mut self, outcome: outcome::Outcome) {
+        if std::mem::replace(&mut self.is_reported, true) {
             return;
         }
         let now = Instant::now();
@@ -72,6 +75,6 @@
             true => outcome::Outcome::TimedOut,
             false => outcome::Outcome::Abandoned,
         };
-        self.tell(outcome);
+        self.report(outcome);
     }
 }
--- a/crates/node/src/gateway/registration.rs
+++ b/crates/node/src/gateway/registration.rs
@@ -1,4 +1,6 @@
-//! Keeps this node's entry in the store, under a lease, so that other nodes find it.
+//! Registration: this node's entry in the store, under a lease, by which other nodes find it.
+//!
+//! Owns the lease. Relies on the state for the entry's value, and for whether the store still lists it.
 
 use std::rc;
 use std::time::Duration;
@@ -10,22 +12,23 @@
 
 use crate::gateway::state;
 
-/// Life of the lease without a renewal.
+/// Life of the lease without a renewal. Not measured; three renewals.
 const LEASE_TIME: Duration = Duration::from_secs(12);
 
-/// Time between two renewals.
+/// Time between two renewals. Not measured.
 const RENEWAL: Duration = Duration::from_secs(4);
 
-/// Pause after a call that failed.
+/// Pause after a failed call. Not measured.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// Keeps the entry until the task ends.
+/// Registers and renews until the task ends.
 pub async fn run(state: rc::Rc<state::State>, client: client::Client) {
     loop {
         match register(&state, &client).await {
-            Ok(lease) => keep(&state, &client, lease).await,
+            Ok(lease) => renew(&state, &client, lease).await,
+            // The sync task logs when the store is lost and reached again.
             Err(_) => {
-                state.store_disturbed();
+                state.store_failed();
                 tokio::time::sleep(PAUSE).await;
             }
         }
@@ -37,15 +40,16 @@
     let lease = client.lease(LEASE_TIME).await?;
     let (key, value) = {
         let me = state.me.borrow();
-        (fact::node_key(&me.node), serde_json::to_vec(&*me).unwrap_or_default())
+        let value = serde_json::to_vec(&*me).expect("a member is plain text and numbers");
+        (fact::node_key(&me.node), value)
     };
     let put = item::Put { key, value, lease };
     client.write(&item::Write { put: vec![put], ..item::Write::default() }).await?;
     Ok(lease)
 }
 
-/// Renews the lease until it is over or the entry was taken away.
-async fn keep(state: &state::State, client: &client::Client, lease: u64) {
+/// Renews the lease until it has expired or the entry is gone.
+async fn renew(state: &state::State, client: &client::Client, lease: u64) {
     let me = state.me.borrow().node.clone();
     let key = fact::node_key(&me);
     loop {
@@ -61,8 +65,9 @@
                 log::info!(lease; "lease-over");
                 return;
             }
+            // The sync task logs when the store is lost and reached again.
             Err(_) => {
-                state.store_disturbed();
+                state.store_failed();
                 tokio::time::sleep(PAUSE).await;
             }
         }
--- a/crates/node/src/gateway/state/mod.rs
+++ b/crates/node/src/gateway/state/mod.rs
@@ -1,4 +1,9 @@
-//! What the tasks of a gateway share; all of them run on one thread.
+//! State that the tasks of a gateway share; all of them run on one thread.
+//!
+//! Owns the configuration in force, the copy of the store, the members and the dispatcher, and applies each
+//! change to them. Relies on [`steer::dispatch`] for every decision. No borrow is held across an `await`.
+
+mod nodes;
 
 use std::cell;
 use std::collections;
@@ -9,8 +14,7 @@
 use model::discovery;
 use model::id;
 use model::routing;
-use rand::RngExt as _;
-use steer::dispatch::{dispatcher, position, slow_start_owner};
+use steer::dispatch::{dispatcher, position};
 use tokio::sync::Notify;
 
 use crate::gateway::dialect;
@@ -21,13 +25,7 @@
 use crate::gateway::replica;
 use crate::gateway::settings;
 
-/// Nodes of a region that watch the store.
-const WATCHERS: usize = 3;
-
-/// Nodes of a region that tell the others at once when they have news from them.
-const FEW: usize = 20;
-
-/// Where news come from.
+/// Source of a configuration or discovery update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The store.
@@ -53,9 +51,9 @@
     }
 }
 
-/// What a source of configuration and upstreams tells.
+/// A change of configuration, upstreams or evacuations.
 #[derive(Clone, Debug)]
-pub struct News {
+pub struct Update {
     /// Where it comes from, for the log.
     pub source: Source,
     /// The source's revision.
@@ -75,30 +73,30 @@
     pub settings: cell::RefCell<rc::Rc<settings::Settings>>,
     /// Chooses upstreams.
     pub dispatcher: cell::RefCell<dispatcher::Dispatcher>,
-    /// Configuration in force; none until one was learnt.
+    /// Configuration in force; none until the first update.
     pub routing: cell::RefCell<Option<sync::Arc<routing::Routing>>>,
     /// Copy of what the store holds.
     pub replica: cell::RefCell<replica::Replica>,
-    /// Extracts of it that other nodes asked for.
+    /// Extracts of it that other nodes ask for.
     pub extracts: cell::RefCell<extracts::Extracts>,
     /// Other nodes.
     pub members: cell::RefCell<members::Members>,
-    /// What this node tells of itself.
+    /// What this node reports of itself.
     pub me: cell::RefCell<member::Member>,
-    /// Figures.
+    /// Counters and latencies.
     pub metrics: metrics::Metrics,
     /// Whether all of the upstreams and the configuration were ever known.
     is_complete: cell::Cell<bool>,
     /// The headers that callers and upstreams use.
     pub dialect: dialect::Dialect,
-    /// Wakes whoever sends heartbeats.
+    /// Wakes the task that sends heartbeats.
     pub beat: Notify,
-    /// Wakes whoever asks other nodes for what they know.
+    /// Wakes the task that fetches changes from other nodes.
     pub behind: Notify,
 }
 
 impl State {
-    /// Makes the state of a node that knows nothing yet.
+    /// Makes the state of a node without configuration and upstreams.
     #[must_use]
     pub fn new(settings: settings::Settings, incarnation: u64) -> Self {
         let position = position::Position {
@@ -143,7 +141,7 @@
         self.routing.borrow().clone()
     }
 
-    /// Returns whether the node serves callers and wants new ones.
+    /// Returns whether the node may be given new callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.is_leaving() && self.routing.borrow().is_some() && self.replica.borrow().is_complete()
@@ -155,10 +153,10 @@
         self.me.borrow().is_leaving
     }
 
-    /// Lets `merge` change the copy of the store, and takes what it changed into force.
+    /// Changes the copy of the store by `merge`, and puts what changed into force.
     ///
-    /// `source` says for the log where the news came from.
-    pub fn learn(
+    /// `source` is for the log, and for whether the change is announced at once.
+    pub fn apply(
         &self,
         source: Source,
         merge: impl FnOnce(&mut replica::Replica) -> replica::Changes,
@@ -174,7 +172,7 @@
         if changes.nodes {
             self.list_nodes(&replica);
         }
-        let news = News {
+        let update = Update {
             source,
             revision: replica.at(),
             routing: replica.routing().filter(|_| changes.routing).cloned(),
@@ -189,24 +187,14 @@
         let is_complete = replica.is_complete();
         drop(replica);
         if is_complete {
-            self.adopt(news);
+            self.adopt(update);
         }
     }
 
-    /// Returns whether this node tells others at once that it has news.
-    ///
-    /// In a large region most nodes that have them from its other nodes wait for their next heartbeat,
-    /// or all would tell all at once.
-    fn announces(&self, source: Source) -> bool {
-        let near = self.members.borrow().near_count();
-        let is_one_of_few = near <= FEW || rand::rng().random_range(0..near) < FEW;
-        source != Source::NearPeer || is_one_of_few
-    }
-
-    /// Takes news into force; what equals what is in force changes nothing.
-    pub fn adopt(&self, news: News) {
+    /// Puts an update into force; what is in force already changes nothing.
+    pub fn adopt(&self, update: Update) {
         let now = Instant::now();
-        let News { source, revision, routing, upstreams, evacuated } = news;
+        let Update { source, revision, routing, upstreams, evacuated } = update;
         let source = source.as_str();
         let is_newer = |r: &routing::Routing| {
             self.routing.borrow().as_ref().is_none_or(|known| known.version < r.version)
@@ -238,49 +226,23 @@
         self.update_ready();
     }
 
-    /// Takes the addresses of the nodes that the store lists.
-    fn list_nodes(&self, replica: &replica::Replica) {
-        // What cannot be read was logged as a malformed item when it was merged.
-        let listed = replica.nodes().filter_map(|listed| {
-            let member::Member { node, region, callers, peers, .. } = listed.member.clone()?;
-            Some((node, members::Listed { region, callers, peers }))
-        });
-        let own = self.settings.borrow().node.clone();
-        let listed = listed.filter(|(node, _)| *node != own).collect();
-        self.members.borrow_mut().set_listed(listed);
-    }
-
     /// Returns whether the store answered last time.
     #[must_use]
     pub fn is_store_reached(&self) -> bool {
         self.me.borrow().is_store_reached
     }
 
-    /// Returns whether this node should watch the store itself.
-    ///
-    /// A few nodes of each region do, the first by name that the store answers; the others learn
-    /// from them, so that the store's calls grow with the regions and not with the fleet.
-    #[must_use]
-    pub fn should_watch(&self) -> bool {
-        let members = self.members.borrow();
-        let me = self.me.borrow();
-        let before = members
-            .near(Instant::now())
-            .filter(|m| m.is_store_reached && !m.is_leaving && m.node < me.node);
-        before.count() < WATCHERS
-    }
-
-    /// Notes that a call to the store failed.
-    pub fn store_disturbed(&self) {
+    /// Records that a call to the store failed.
+    pub fn store_failed(&self) {
         self.dispatcher.borrow_mut().source_failed(Instant::now());
     }
 
-    /// Notes whether the store answers, with a line when that changes.
+    /// Records whether the store answers, and logs a change.
     pub fn store_reached(&self, failure: Option<&dyn std::error::Error>) {
         let is_reached = failure.is_none();
         let was_reached = std::mem::replace(&mut self.me.borrow_mut().is_store_reached, is_reached);
         if !is_reached {
-            self.store_disturbed();
+            self.store_failed();
         }
         match failure {
             None if !was_reached => {
@@ -294,24 +256,6 @@
         }
     }
 
-    /// Tells the dispatcher which nodes are alive.
-    pub fn update_nodes(&self) {
-        let now = Instant::now();
-        let members = self.members.borrow();
-        let own = self.settings.borrow().node.clone();
-        let mut owners = slow_start_owner::Owners {
-            near: members.near(now).filter(|m| !m.is_leaving).map(|m| m.node.clone()).collect(),
-            listed: collections::BTreeMap::new(),
-        };
-        if !self.is_leaving() {
-            owners.near.push(own);
-        }
-        for (node, listed) in members.listed() {
-            owners.listed.entry(listed.region.clone()).or_default().push(node.clone());
-        }
-        self.dispatcher.borrow_mut().set_nodes(owners, members.count() + 1);
-    }
-
     /// Marks the node as stopping.
     pub fn leave(&self) {
         self.me.borrow_mut().is_leaving = true;
--- a/crates/node/src/gateway/sync.rs
+++ b/crates/node/src/gateway/sync.rs
@@ -1,4 +1,7 @@
 //! Follows the platform's store: reads it whole, then watches it.
+//!
+//! Owns the pauses after failed calls. Relies on [`steer::dispatch::fleet::watchers`], through the state, for
+//! whether this node watches, and on the state to apply what it reads.
 
 use std::rc;
 use std::time::Duration;
@@ -9,23 +12,23 @@
 
 use crate::gateway::state;
 
-/// Longest time one watch waits.
+/// Longest time one watch waits. Not measured.
 const WAIT: Duration = Duration::from_secs(20);
 
-/// Time in which changes gather before the next watch; calls are priced.
+/// Time in which changes gather before the next watch, since calls are priced. Not measured.
 const GATHER: Duration = Duration::from_millis(150);
 
-/// First pause after a call that failed.
+/// First pause after a failed call. Not measured.
 const FIRST_PAUSE: Duration = Duration::from_millis(200);
 
-/// Longest pause after a call that failed.
+/// Longest pause after a failed call. Not measured.
 const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// All keys.
-const EVERYTHING: &str = "";
+/// Prefix of all keys.
+const ALL_KEYS: &str = "";
 
-/// Time between two looks at whether this node should watch.
-const WATCH_LOOK: Duration = Duration::from_millis(250);
+/// Time between two checks whether this node should watch. Not measured.
+const CHECK_PERIOD: Duration = Duration::from_millis(250);
 
 /// Follows the store until the task ends.
 pub async fn run(state: rc::Rc<state::State>, client: client::Client) {
@@ -33,7 +36,7 @@
     loop {
         let is_complete = state.replica.borrow().is_complete();
         if is_complete && !state.should_watch() {
-            tokio::time::sleep(WATCH_LOOK).await;
+            tokio::time::sleep(CHECK_PERIOD).await;
             continue;
         }
         let outcome = match is_complete {
@@ -51,7 +54,7 @@
     }
 }
 
-/// Watches; reads everything when the history since the last news is gone.
+/// Watches; reads everything when the store dropped the history since the last watch.
 async fn watch_or_read(state: &state::State, client: &client::Client) -> Result<(), error::Error> {
     match watch(state, client).await {
         Err(error::Error::Compacted) => {
@@ -63,17 +66,17 @@
 }
 
 async fn read(state: &state::State, client: &client::Client) -> Result<(), error::Error> {
-    let page = client.range(EVERYTHING).await?;
-    state.learn(state::Source::Store, |replica| replica.replace(page));
+    let page = client.range(ALL_KEYS).await?;
+    state.apply(state::Source::Store, |replica| replica.replace(page));
     Ok(())
 }
 
 async fn watch(state: &state::State, client: &client::Client) -> Result<(), error::Error> {
     let after = state.replica.borrow().at();
-    let page = client.watch(EVERYTHING, after, WAIT).await?;
-    let has_news = !page.items.is_empty();
-    state.learn(state::Source::Store, |replica| replica.merge(page));
-    if has_news {
+    let page = client.watch(ALL_KEYS, after, WAIT).await?;
+    let has_changes = !page.items.is_empty();
+    state.apply(state::Source::Store, |replica| replica.merge(page));
+    if has_changes {
         tokio::time::sleep(GATHER).await;
     }
     Ok(())
--- a/crates/node/tests/heartbeats.rs
+++ b/crates/node/tests/heartbeats.rs
@@ -6,6 +6,7 @@
 use node::gateway::{datagram, member, members};
 use quickcheck::quickcheck;
 use wire::gateway::heartbeat;
+use steer::dispatch::fleet::representatives;
 
 fn member(node: &str, incarnation: u64, sequence: u64) -> member::Member {
     member::Member {
@@ -35,14 +36,14 @@
 fn silence_ends_a_life_and_an_older_heartbeat_does_not_renew_it() {
     let now = Instant::now();
     let mut members = members::Members::new(id::Region::new("north"));
-    assert!(members.hear(member("a", 1, 5), now));
+    assert!(members.record(member("a", 1, 5), now));
     let later = now + Duration::from_millis(1_600);
     assert_eq!(members.alive(later).count(), 0);
     // A datagram that was late on its way.
-    assert!(!members.hear(member("a", 1, 4), later));
+    assert!(!members.record(member("a", 1, 4), later));
     assert_eq!(members.alive(later).count(), 0);
     // A new start of the same node counts from the beginning.
-    assert!(members.hear(member("a", 2, 1), later));
+    assert!(members.record(member("a", 2, 1), later));
     assert_eq!(members.alive(later + Duration::from_millis(1)).count(), 1);
 }
 
@@ -55,10 +56,10 @@
 fn large_fleet(near: u16, now: Instant) -> members::Members {
     let mut members = members::Members::new(id::Region::new("north"));
     for index in 0..near {
-        members.hear(far(&format!("n-{}", 10 + index), "north", 1_000 + index), now);
+        members.record(far(&format!("n-{}", 10 + index), "north", 1_000 + index), now);
     }
     for index in 0..100 {
-        members.hear(far(&format!("s-{}", 100 + index), "south", 3_000 + index), now);
+        members.record(far(&format!("s-{}", 100 + index), "south", 3_000 + index), now);
     }
     members
 }
@@ -69,11 +70,14 @@
     let members = large_fleet(30, now);
     let speaker = id::Node::new("n-05");
     let told = members.addresses(&speaker, 1, now);
-    assert_eq!(told.len(), 30 + members::SPEAKERS);
+    assert_eq!(told.len(), 30 + representatives::PER_REGION);
     let other = id::Node::new("n-50");
     let told = members.addresses(&other, 1, now);
     assert_eq!(told.len(), 30);
-    assert!(members.is_first_speaker(&speaker, now) && !members.is_first_speaker(&other, now));
+    assert!(
+        members.is_first_representative(&speaker, now)
+            && !members.is_first_representative(&other, now)
+    );
 }
 
 #[test]
@@ -81,7 +85,7 @@
     let now = Instant::now();
     let mut members = members::Members::new(id::Region::new("north"));
     for (node, region) in [("n-2", "north"), ("s-1", "south"), ("s-2", "south"), ("w-1", "west")] {
-        members.hear(
+        members.record(
             far(node, region, u16::from(node.as_bytes()[2]) + 100 * u16::from(node.as_bytes()[0])),
             now,
         );
@@ -105,7 +109,7 @@
     let mut told = std::collections::BTreeSet::new();
     for turn in 0..10 {
         let addresses = members.addresses(&me, turn, now);
-        assert_eq!(addresses.len(), members::SPEAKERS);
+        assert_eq!(addresses.len(), representatives::PER_REGION);
         told.extend(addresses);
     }
     assert_eq!(told.len(), 20);
--- a/crates/steer/src/dispatch/mod.rs
+++ b/crates/steer/src/dispatch/mod.rs
@@ -12,6 +12,8 @@
 //! What the rules know of an upstream: [`ejection`], [`failure_rate`], [`silence`], [`work_time`] (together
 //! [`health`]), [`slow_start`] and its owner, [`expected_work`], [`reported_load`], [`peer_load`],
 //! [`lapsed`] entries.
+//!
+//! What nodes do for each other and for callers: [`fleet`], and [`stop`] for a planned stop.
 
 pub mod admission;
 pub mod affinity;
@@ -22,6 +24,7 @@
 pub mod execution;
 pub mod expected_work;
 pub mod failure_rate;
+pub mod fleet;
 pub mod give_up;
 pub mod health;
 pub mod lapsed;
@@ -41,5 +44,6 @@
 pub mod silence;
 pub mod slow_start;
 pub mod slow_start_owner;
+pub mod stop;
 pub mod upstream;
 pub mod work_time;
