--- /dev/null
+++ b/crates/node/src/gateway/state/nodes.rs
@@ -0,0 +1,63 @@
+//! Other nodes: what this node does for the fleet, by the members that it knows.
+//!
+//! Relies on [`steer::dispatch::fleet`] for each decision; here the members only become its inputs.
+
+use std::collections;
+use std::time::Instant;
+
+use rand::RngExt as _;
+use steer::dispatch::fleet::{announcement, watchers};
+use steer::dispatch::slow_start_owner;
+
+use crate::gateway::member;
+use crate::gateway::members;
+use crate::gateway::replica;
+use crate::gateway::state::{Source, State};
+
+impl State {
+    /// Replaces the members that the store lists.
+    pub(super) fn list_nodes(&self, replica: &replica::Replica) {
+        let listed = replica.nodes().filter_map(|(_, value)| {
+            // Nothing is lost by an entry of another version: its node is found by its heartbeats.
+            let member: member::Member = serde_json::from_slice(value).ok()?;
+            let member::Member { node, region, callers, peers, .. } = member;
+            Some((node, members::Listed { region, callers, peers }))
+        });
+        let own = self.settings.borrow().node.clone();
+        let listed = listed.filter(|(node, _)| *node != own).collect();
+        self.members.borrow_mut().set_listed(listed);
+    }
+
+    /// Returns whether this node announces a change from `source` at once.
+    pub(super) fn announces(&self, source: Source) -> bool {
+        let near = self.members.borrow().near_count();
+        let draw = |nodes| rand::rng().random_range(0..nodes);
+        announcement::is_immediate(source == Source::NearPeer, near, draw)
+    }
+
+    /// Returns whether this node should watch the store itself.
+    #[must_use]
+    pub fn should_watch(&self) -> bool {
+        let members = self.members.borrow();
+        let reaching = members.staying(Instant::now()).filter(|m| m.is_store_reached);
+        watchers::contains(&self.me.borrow().node, reaching.map(|m| &m.node))
+    }
+
+    /// Passes the known nodes to the dispatcher, for slow start and the retry budget.
+    pub fn update_nodes(&self) {
+        let now = Instant::now();
+        let members = self.members.borrow();
+        let own = self.settings.borrow().node.clone();
+        let mut owners = slow_start_owner::Owners {
+            near: members.staying(now).map(|m| m.node.clone()).collect(),
+            listed: collections::BTreeMap::new(),
+        };
+        if !self.is_leaving() {
+            owners.near.push(own);
+        }
+        for (node, listed) in members.listed() {
+            owners.listed.entry(listed.region.clone()).or_default().push(node.clone());
+        }
+        self.dispatcher.borrow_mut().set_nodes(owners, members.count() + 1);
+    }
+}
--- /dev/null
+++ b/crates/steer/tests/gateway_fleet.rs
@@ -0,0 +1,106 @@
+//! What gateways do for each other and for callers: who watches, announces, is asked, named, or stops.
+
+use std::net;
+use std::time::Duration;
+
+use model::id;
+use steer::dispatch::fleet::{announcement, catch_up, gossip, lookup, representatives, watchers};
+use steer::dispatch::stop;
+
+const GRACE: Duration = Duration::from_secs(6);
+
+fn names(range: std::ops::Range<usize>) -> Vec<id::Node> {
+    range.map(|index| id::Node::new(&format!("n-{index:03}"))).collect()
+}
+
+#[test]
+fn the_first_three_nodes_that_reach_the_store_watch_it() {
+    let reaching = names(10..30);
+    assert!(watchers::contains(&id::Node::new("n-012"), reaching.iter()));
+    assert!(!watchers::contains(&id::Node::new("n-013"), reaching.iter()));
+    // With nobody before it that reaches the store, any node watches.
+    assert!(watchers::contains(&id::Node::new("n-029"), [].iter()));
+}
+
+#[test]
+fn six_nodes_of_a_region_represent_it_and_the_first_forwards_for_the_rest() {
+    let others = names(10..30);
+    assert!(representatives::contains(&id::Node::new("n-015"), others.iter()));
+    assert!(!representatives::contains(&id::Node::new("n-016"), others.iter()));
+    let first = id::Node::new("n-009");
+    assert!(representatives::is_first(&first, others.iter()));
+    assert!(!representatives::is_first(&id::Node::new("n-011"), others.iter()));
+    // The first itself and five others are representatives; the rest are not.
+    assert_eq!(representatives::rest(others.iter()).first(), Some(&&others[5]));
+    let (north, south) = (id::Region::new("north"), id::Region::new("south"));
+    let members = (0..20).map(|index| (if index % 2 == 0 { &south } else { &north }, index));
+    let of_regions = representatives::of_regions(members);
+    assert_eq!(of_regions, [1, 3, 5, 7, 9, 11, 0, 2, 4, 6, 8, 10]);
+    assert_eq!(representatives::contacts(4, &[1, 2, 3], 1), [3, 1]);
+    assert!(representatives::contacts(6, &[1, 2, 3], 1).is_empty());
+}
+
+#[test]
+fn changes_from_outside_a_region_and_in_small_ones_are_announced_at_once() {
+    let never = |_| -> usize { panic!("no draw is needed") };
+    assert!(announcement::is_immediate(false, 400, never));
+    assert!(announcement::is_immediate(true, 20, never));
+    assert!(announcement::is_immediate(true, 400, |nodes| nodes - 381));
+    assert!(!announcement::is_immediate(true, 400, |nodes| nodes - 380));
+}
+
+#[test]
+fn periods_grow_with_the_region_and_heartbeats_are_bounded() {
+    let millis = Duration::from_millis;
+    let heartbeats = [10, 50, 75, 400].map(gossip::heartbeat);
+    assert_eq!(heartbeats, [millis(500), millis(500), millis(750), millis(1_000)]);
+    let reports = [10, 12, 13, 400].map(gossip::load_report);
+    assert_eq!(reports, [millis(100), millis(100), millis(104), millis(3_200)]);
+    assert_eq!(gossip::near_dead_after(10), millis(1_600));
+    assert_eq!(gossip::far_dead_after(), millis(3_200));
+}
+
+#[test]
+fn a_watcher_waits_for_the_store_before_it_asks_a_node() {
+    let standing = catch_up::Standing { is_complete: true, is_store_reached: true };
+    let empty = catch_up::Standing { is_complete: false, is_store_reached: false };
+    let (early, late) = (Duration::from_millis(699), Duration::from_millis(700));
+    assert!(!catch_up::is_due(standing, true, early) && catch_up::is_due(standing, true, late));
+    assert!(catch_up::is_due(standing, false, early) && catch_up::is_due(empty, true, early));
+    assert_eq!(catch_up::sources(1, 1, standing), catch_up::Sources::Near);
+    assert_eq!(catch_up::sources(0, 1, empty), catch_up::Sources::Far);
+    assert_eq!(catch_up::sources(0, 0, empty), catch_up::Sources::Seeds);
+    // Nobody is ahead, so the far nodes to ask are none.
+    assert_eq!(catch_up::sources(0, 0, standing), catch_up::Sources::Far);
+}
+
+#[test]
+fn a_look_up_prefers_the_callers_region_then_living_then_listed_homes() {
+    let regions = ["north", "south", "west"].map(id::Region::new);
+    let address = |port| net::SocketAddr::from(([127, 0, 0, 1], port));
+    let node = |region, port| lookup::Node { region: &regions[region], callers: address(port) };
+    let serving = [node(0, 1), node(1, 2)];
+    let find = |region: usize, homes: &[id::Region]| {
+        lookup::addresses(&regions[region], homes, &serving, [node(2, 3)].into_iter())
+    };
+    assert_eq!(find(0, &[]), [address(1)]);
+    assert_eq!(find(0, &regions[1..2]), [address(1)]);
+    assert_eq!(find(2, &regions[1..2]), [address(2)]);
+    assert_eq!(find(2, &regions[2..]), [address(3)]);
+    assert_eq!(find(2, &[]), [address(1), address(2)]);
+}
+
+#[test]
+fn a_planned_stop_serves_on_then_closes_then_ends() {
+    let step = |millis, connections, requests| {
+        stop::step(Duration::from_millis(millis), GRACE, stop::Open { connections, requests })
+    };
+    assert_eq!(step(3_299, 0, 0), stop::Step::Serve);
+    assert_eq!(step(3_300, 0, 0), stop::Step::End { is_done: true });
+    assert_eq!(step(3_300, 2, 0), stop::Step::Close);
+    assert_eq!(step(4_499, 2, 1), stop::Step::Serve);
+    assert_eq!(step(4_500, 2, 1), stop::Step::Close);
+    assert_eq!(step(5_849, 2, 1), stop::Step::Close);
+    assert_eq!(step(5_850, 2, 1), stop::Step::End { is_done: false });
+    assert_eq!(step(5_850, 2, 0), stop::Step::End { is_done: true });
+}
