--- a/crates/node/src/gateway/process.rs
+++ b/crates/node/src/gateway/process.rs
@@ -155,7 +155,7 @@
     anyhow::bail!("{field}: cannot receive datagrams on {address}: {cause}")
 }
 
-/// Returns a number that grows with each start.
+/// Returns a number that grows with each start; a clock before 1970 counts as 1970.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/node/src/gateway/proxy/answer.rs
+++ b/crates/node/src/gateway/proxy/answer.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the reason as a word.
+    /// Returns the reason as the log key `reason` holds it.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/node/src/gateway/state/mod.rs
+++ b/crates/node/src/gateway/state/mod.rs
@@ -39,7 +39,7 @@
 }
 
 impl Source {
-    /// Returns the source as a word for logs.
+    /// Returns the source as the log key `source` holds it.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/steer/src/common/ramp.rs
+++ b/crates/steer/src/common/ramp.rs
@@ -1,4 +1,7 @@
-//! Ramps: the only thing that moves a split, never faster than the cap.
+//! Ramp: moves a split toward its target, never faster than a limit.
+//!
+//! Owns the position of one split and its moves within the window. Relies on [`split`] for the steps. Moves
+//! are spread over the window, so that a region that receives more warms up on the way.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -8,10 +11,17 @@
 
 use crate::common::split;
 
-/// Part of the cap that is used, so that rounding and the grain of requests stay inside it.
+/// Part of the limit that is used, in percent.
+///
+/// Not measured; the margin is for rounding and for the grain of single requests.
 const USED_PERCENT: u32 = 95;
 
-/// The limit a ramp keeps: at most `share` within any `window`.
+/// Longest time since the last move whose pace one step may use.
+///
+/// Not measured; bounds the step after a pause.
+const PACE: Duration = Duration::from_secs(1);
+
+/// Limit of a ramp: at most `share` moves within any `window`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
     /// The greatest share.
@@ -32,7 +42,7 @@
     }
 }
 
-/// The moving position of one place's split for one service.
+/// The position of one split, and its latest moves.
 #[derive(Clone, Debug, Default)]
 pub struct Limiter {
     position: split::Split,
@@ -88,9 +98,6 @@
     }
 }
 
-/// Longest time whose pace one step may use.
-const PACE: Duration = Duration::from_secs(1);
-
 fn duration_micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/steer/src/common/round_robin.rs
+++ b/crates/steer/src/common/round_robin.rs
@@ -1,9 +1,11 @@
-//! Smooth weighted round robin: each choice is taken in its share, right within one request.
+//! Smooth weighted round robin: each choice is taken in its share, exact within one request.
+//!
+//! Owns the credit of each choice: the turns that its weight earned, less those that it took.
 
 use std::collections;
 use std::hash;
 
-/// The state of the rotation.
+/// The credit of each choice.
 #[derive(Clone, Debug)]
 pub struct RoundRobin<K> {
     credit: collections::BTreeMap<K, f64>,
@@ -16,10 +18,10 @@
 }
 
 impl<K: Clone + Ord + hash::Hash> RoundRobin<K> {
-    /// Takes `wanted`, unless it has had more than `lead` beyond its share: then the next wanted one
-    /// that has not, else the one that is furthest behind.
+    /// Takes the first of `wanted` that is at most `lead` turns ahead of its share.
     ///
-    /// So choices that should always fall alike do, and shares still hold within `lead`.
+    /// Without one, takes the choice that is furthest behind. So requests that should go alike do, and
+    /// shares still hold within `lead`. None when no weight is above zero.
     pub fn prefer(&mut self, weights: &[(K, f64)], wanted: &[K], lead: f64) -> Option<K> {
         self.earn(weights)?;
         let has_room = |key: &&K| self.credit.get(*key).is_some_and(|c| *c - 1.0 >= -lead);
@@ -39,7 +41,7 @@
         Some(taken)
     }
 
-    /// Gives every choice its share of one turn; none when no weight is above zero.
+    /// Adds one turn, in proportion to the weights; none when no weight is above zero.
     fn earn(&mut self, weights: &[(K, f64)]) -> Option<()> {
         let total: f64 = weights.iter().map(|(_, w)| w.max(0.0)).sum();
         if total <= 0.0 {
--- a/crates/steer/src/common/split.rs
+++ b/crates/steer/src/common/split.rs
@@ -1,4 +1,8 @@
-//! Splits: which share of a place's requests for a service goes to which region.
+//! Split: which share of the requests for a service goes to which region.
+//!
+//! Owns shares in millionths, which add up to one whole. Relies on nothing; [`ramp`] moves splits.
+//!
+//! [`ramp`]: crate::common::ramp
 
 use std::collections;
 
@@ -95,7 +99,7 @@
         Self { parts }
     }
 
-    /// Gives what rounding left over to the greatest part.
+    /// Adds what rounding left over to the largest part.
     fn balanced(mut parts: collections::BTreeMap<id::Region, u32>) -> Self {
         parts.retain(|_, part| *part > 0);
         let total: u32 = parts.values().sum();
--- a/crates/steer/src/dispatch/admission.rs
+++ b/crates/steer/src/dispatch/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: whether a request may wait for the best upstream, or is refused at once.
 //!
 //! Owns nothing. Relies on [`candidate::Candidate`] for the expected times. A queue that makes every
-//! answer late helps nobody, and a caller that is refused at once can retry where the queue is shorter.
+//! answer late serves no request, and a caller that is refused at once can retry where the queue is shorter.
 
 use std::time::Duration;
 
