--- a/crates/node/src/gateway/state/nodes.rs
+++ b/crates/node/src/gateway/state/nodes.rs
@@ -17,10 +17,9 @@
 impl State {
     /// Replaces the members that the store lists.
     pub(super) fn list_nodes(&self, replica: &replica::Replica) {
-        let listed = replica.nodes().filter_map(|(_, value)| {
-            // Nothing is lost by an entry of another version: its node is found by its heartbeats.
-            let member: member::Member = serde_json::from_slice(value).ok()?;
-            let member::Member { node, region, callers, peers, .. } = member;
+        // An entry that cannot be read was logged when it was merged; its node is found by heartbeats.
+        let listed = replica.nodes().filter_map(|listed| {
+            let member::Member { node, region, callers, peers, .. } = listed.member.clone()?;
             Some((node, members::Listed { region, callers, peers }))
         });
         let own = self.settings.borrow().node.clone();
--- a/crates/node/tests/heartbeats.rs
+++ b/crates/node/tests/heartbeats.rs
@@ -5,8 +5,8 @@
 use model::id;
 use node::gateway::{datagram, member, members};
 use quickcheck::quickcheck;
-use wire::gateway::heartbeat;
 use steer::dispatch::fleet::representatives;
+use wire::gateway::heartbeat;
 
 fn member(node: &str, incarnation: u64, sequence: u64) -> member::Member {
     member::Member {
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -143,14 +143,14 @@
         self.data.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Shows the faults that are on; an error is the answer.
-    fn enter(&self) -> Result<(), Answer> {
+    /// Counts a call, and returns its answer if the store is out.
+    fn enter(&self) -> Option<Answer> {
         match self.faults.is_out() {
             true => {
                 self.data().counters.refused += 1;
-                Err(status(StatusCode::SERVICE_UNAVAILABLE))
+                Some(status(StatusCode::SERVICE_UNAVAILABLE))
             }
-            false => Ok(()),
+            false => None,
         }
     }
 }
@@ -171,7 +171,7 @@
     Path(key): Path<String>,
     Query(query): Query<GetQuery>,
 ) -> Answer {
-    if let Err(answer) = inner.enter() {
+    if let Some(answer) = inner.enter() {
         return answer;
     }
     let Some(after) = query.after else {
@@ -206,7 +206,7 @@
     Query(query): Query<PutQuery>,
     body: bytes::Bytes,
 ) -> Answer {
-    if let Err(answer) = inner.enter() {
+    if let Some(answer) = inner.enter() {
         return answer;
     }
     let answer = write(&inner, &key, &query, body);
@@ -237,7 +237,7 @@
 }
 
 async fn grant(State(inner): State<sync::Arc<Inner>>, Query(query): Query<LeaseQuery>) -> Answer {
-    if let Err(answer) = inner.enter() {
+    if let Some(answer) = inner.enter() {
         return answer;
     }
     let mut data = inner.data();
@@ -253,7 +253,7 @@
     Path(id): Path<u64>,
     Query(query): Query<LeaseQuery>,
 ) -> Answer {
-    if let Err(answer) = inner.enter() {
+    if let Some(answer) = inner.enter() {
         return answer;
     }
     let mut data = inner.data();
