--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -21,7 +21,7 @@
 /// Longest time for an answer; a change waits for the store.
 const ANSWER_TIME: Duration = Duration::from_secs(30);
 
-/// A node's face for operators, as a client sees it.
+/// A client of a node's address for operators.
 #[derive(Debug)]
 pub struct Client {
     base: String,
--- a/crates/cli/src/demo/platform/load.rs
+++ b/crates/cli/src/demo/gateways/callers.rs
@@ -1,4 +1,6 @@
 //! Callers of the demo: an even stream of requests, each with its own name.
+//!
+//! It owns what each response says; it relies on the platform's headers.
 
 use std::net;
 use std::sync;
@@ -26,9 +28,9 @@
 /// Time a caller waits.
 const DEADLINE: Duration = Duration::from_secs(2);
 
-/// What a caller was told of a request.
+/// What the response says about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Verdict {
     /// The whole answer to its own request.
     Whole,
     /// Something else as a success.
@@ -46,9 +48,9 @@
     pub id: String,
     /// Whether it may run more than once.
     pub is_repeatable: bool,
-    /// What the caller was told.
-    pub told: Told,
-    /// How long that took.
+    /// What the response says.
+    pub verdict: Verdict,
+    /// Time to that response.
     pub took: Duration,
 }
 
@@ -96,11 +98,11 @@
 ) -> Outcome {
     let began = Instant::now();
     let exchange = exchange(&client, target, &id, object, is_repeatable);
-    let told = match tokio::time::timeout(DEADLINE, exchange).await {
-        Ok(Ok(told)) => told,
-        Ok(Err(_)) | Err(_) => Told::Unknown,
+    let verdict = match tokio::time::timeout(DEADLINE, exchange).await {
+        Ok(Ok(verdict)) => verdict,
+        Ok(Err(_)) | Err(_) => Verdict::Unknown,
     };
-    Outcome { id, is_repeatable, told, took: began.elapsed() }
+    Outcome { id, is_repeatable, verdict, took: began.elapsed() }
 }
 
 async fn exchange(
@@ -109,7 +111,7 @@
     id: &str,
     object: u32,
     is_repeatable: bool,
-) -> anyhow::Result<Told> {
+) -> anyhow::Result<Verdict> {
     let (method, path) = match is_repeatable {
         true => (Method::GET, "read"),
         false => (Method::POST, "book"),
@@ -127,14 +129,14 @@
     let body = answer.into_body().collect().await?.to_bytes();
     let is_own = body.ends_with(format!(" to {id}").as_bytes());
     Ok(match status {
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Told::NotRun,
-        status if status.is_success() && is_own => Told::Whole,
-        status if status.is_success() => Told::Wrong,
-        _ => Told::Unknown,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Verdict::NotRun,
+        status if status.is_success() && is_own => Verdict::Whole,
+        status if status.is_success() => Verdict::Wrong,
+        _ => Verdict::Unknown,
     })
 }
 
-/// Returns whether the gateway whose readiness is told at `address` is ready.
+/// Returns whether the gateway that serves its readiness at `address` is ready.
 pub async fn is_ready(address: net::SocketAddr) -> bool {
     let client: legacy::Client<HttpConnector, Empty<Bytes>> =
         legacy::Client::builder(TokioExecutor::new()).build_http();
--- a/crates/cli/src/demo/platform/fleet.rs
+++ b/crates/cli/src/demo/gateways/deployment.rs
@@ -1,4 +1,6 @@
 //! The deployment of the demo: three regions of two halls, with gateways, upstreams and the store.
+//!
+//! It owns what runs and where callers may send; it relies on the stand-ins of the platform.
 
 use std::collections;
 use std::net;
@@ -28,15 +30,15 @@
 /// Time for the gateways to become ready.
 const START_TIME: Duration = Duration::from_secs(20);
 
-/// Time between two looks at whether they are.
+/// Time between two checks that they are ready.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
 /// A running deployment.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct Deployment {
     /// The platform's store.
     pub store: store::Store,
-    /// The gateways, by name, each with its own door to the store.
+    /// The gateways, by name, each with its own listener of the store.
     pub gateways: collections::BTreeMap<String, (thread::Thread, sync::Arc<door::Door>)>,
     /// Where callers may send requests; changes as gateways come and go.
     pub addresses: sync::Arc<sync::RwLock<Vec<net::SocketAddr>>>,
@@ -44,33 +46,33 @@
     version: u64,
 }
 
-impl Fleet {
+impl Deployment {
     /// Starts everything and waits until every gateway knows the configuration.
     ///
     /// # Errors
     ///
     /// Fails when something cannot start, or is not ready in time.
     pub async fn start() -> anyhow::Result<Self> {
-        let mut fleet = Self {
+        let mut deployment = Self {
             store: store::Store::start(),
             gateways: collections::BTreeMap::new(),
             addresses: sync::Arc::default(),
             upstreams: Vec::new(),
             version: 0,
         };
-        fleet.configure(SERVICES[0]);
+        deployment.configure(SERVICES[0]);
         for hall in halls() {
             for service in SERVICES {
                 for index in 0..UPSTREAMS {
-                    fleet.add_upstream(service, &hall, index).await?;
+                    deployment.add_upstream(service, &hall, index).await?;
                 }
             }
         }
         for hall in halls() {
-            fleet.add_gateway(&hall).await?;
+            deployment.add_gateway(&hall).await?;
         }
-        fleet.wait_ready().await?;
-        Ok(fleet)
+        deployment.wait_ready().await?;
+        Ok(deployment)
     }
 
     /// Puts a new version of the configuration, in which `reads` serves the reads.
@@ -92,7 +94,7 @@
         self.store.put(fact::CONFIG, &config::write(&routing));
     }
 
-    /// Asks that nothing more be sent to a hall, or takes that back.
+    /// Asks that nothing more be sent to a hall, or withdraws that.
     pub fn evacuate(&self, hall: &str, is_wanted: bool) {
         let key = format!("{}{hall}", fact::EVACUATIONS);
         match is_wanted {
@@ -109,21 +111,21 @@
         self.store.put(&key(&listed.id), &entry::write(listed));
     }
 
-    /// Lets one upstream in `every` answer in this manner, the others soundly.
-    pub fn misbehave(&self, manner: upstream::Manner, every: usize) {
+    /// Lets one upstream in `every` show `behavior`, the others answer correctly.
+    pub fn misbehave(&self, behavior: upstream::Manner, every: usize) {
         for (index, (_, standin)) in self.upstreams.iter().enumerate() {
             standin.set(match index % every {
-                0 => manner,
+                0 => behavior,
                 _ => upstream::Manner::Slow(WORK),
             });
         }
     }
 
-    /// Treats the calls of every gateway, or of every second one, in this way.
-    pub fn set_doors(&self, mode: door::Mode, is_for_all: bool) {
-        for (index, (_, door)) in self.gateways.values().enumerate() {
+    /// Sets how the store answers every gateway, or every second one.
+    pub fn set_listeners(&self, mode: door::Mode, is_for_all: bool) {
+        for (index, (_, listener)) in self.gateways.values().enumerate() {
             if is_for_all || index % 2 == 0 {
-                door.set(mode);
+                listener.set(mode);
             }
         }
     }
@@ -177,7 +179,7 @@
     }
 
     async fn add_gateway(&mut self, hall: &str) -> anyhow::Result<()> {
-        let door = self.store.open().await?;
+        let listener = self.store.open().await?;
         let seeds: Vec<String> = self
             .gateways
             .values()
@@ -193,18 +195,18 @@
             name(hall),
             region(hall),
             seeds.join(", "),
-            door.address
+            listener.address
         );
         let settings: settings::Settings = document::read("demo", &text)?;
         let gateway = thread::Thread::start(settings).await?;
-        self.gateways.insert(name(hall), (gateway, door));
+        self.gateways.insert(name(hall), (gateway, listener));
         Ok(())
     }
 
     async fn wait_ready(&mut self) -> anyhow::Result<()> {
         let began = Instant::now();
         for (name, (gateway, _)) in &self.gateways {
-            while !crate::demo::platform::load::is_ready(gateway.listen.ready).await {
+            while !crate::demo::gateways::callers::is_ready(gateway.listen.ready).await {
                 anyhow::ensure!(began.elapsed() < START_TIME, "{name} is not ready in time");
                 tokio::time::sleep(LOOK_EVERY).await;
             }
--- a/crates/cli/src/demo/platform/phases.rs
+++ b/crates/cli/src/demo/gateways/faults.rs
@@ -1,12 +1,14 @@
-//! The phases of the demo: a quiet one, and then one trouble after the other.
+//! The phases of the demo: one without faults, then one per fault.
+//!
+//! It owns their order and length; it relies on the deployment to inject the faults.
 
 use std::sync;
 use std::time::Duration;
 
 use standin::platform::{door, upstream};
 
-use crate::demo::platform::fleet;
-use crate::demo::platform::load;
+use crate::demo::gateways::callers;
+use crate::demo::gateways::deployment;
 
 /// The phases, in order.
 const PHASES: [Phase; 8] = [
@@ -23,7 +25,7 @@
 /// One upstream in this many loses its answers, of every service.
 const LOST_EVERY: usize = 3;
 
-/// A trouble, under load.
+/// A fault, under load.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
     Quiet,
@@ -57,7 +59,7 @@
     /// The phase.
     pub name: &'static str,
     /// Its requests.
-    pub outcomes: Vec<load::Outcome>,
+    pub outcomes: Vec<callers::Outcome>,
 }
 
 /// Runs all phases, which take `length` together or a little longer.
@@ -66,48 +68,52 @@
 ///
 /// Fails when a gateway cannot be started again.
 pub async fn run(
-    fleet: &mut fleet::Fleet,
+    deployment: &mut deployment::Deployment,
     length: Duration,
     seed: u64,
 ) -> anyhow::Result<Vec<Result>> {
     let each = length / u32::try_from(PHASES.len()).unwrap_or(1);
     let mut results = Vec::new();
     for phase in PHASES {
-        let addresses = sync::Arc::clone(&fleet.addresses);
+        let addresses = sync::Arc::clone(&deployment.addresses);
         let sending =
-            tokio::spawn(async move { load::run(phase.name(), &addresses, each, seed).await });
-        trouble(fleet, phase, each).await?;
+            tokio::spawn(async move { callers::run(phase.name(), &addresses, each, seed).await });
+        inject(deployment, phase, each).await?;
         let outcomes = sending.await?;
         results.push(Result { name: phase.name(), outcomes });
     }
     Ok(results)
 }
 
-async fn trouble(fleet: &mut fleet::Fleet, phase: Phase, length: Duration) -> anyhow::Result<()> {
+async fn inject(
+    deployment: &mut deployment::Deployment,
+    phase: Phase,
+    length: Duration,
+) -> anyhow::Result<()> {
     tokio::time::sleep(length / 4).await;
-    let halls = fleet::halls();
+    let halls = deployment::halls();
     match phase {
         Phase::Quiet => {}
         Phase::Evacuation => {
-            fleet.evacuate(&halls[0], true);
+            deployment.evacuate(&halls[0], true);
             tokio::time::sleep(length / 2).await;
-            fleet.evacuate(&halls[0], false);
+            deployment.evacuate(&halls[0], false);
         }
-        Phase::UpstreamLeaves => fleet.drain_upstream(&halls[1]),
-        Phase::NewConfiguration => fleet.configure(fleet::SERVICES[1]),
+        Phase::UpstreamLeaves => deployment.drain_upstream(&halls[1]),
+        Phase::NewConfiguration => deployment.configure(deployment::SERVICES[1]),
         Phase::LostAnswers => {
-            fleet.misbehave(upstream::Manner::Lost, LOST_EVERY);
+            deployment.misbehave(upstream::Manner::Lost, LOST_EVERY);
             tokio::time::sleep(length / 2).await;
-            fleet.misbehave(upstream::Manner::Lost, usize::MAX);
+            deployment.misbehave(upstream::Manner::Lost, usize::MAX);
         }
         Phase::StoreTurnsSomeAway => {
-            fleet.set_doors(door::Mode::Busy, false);
-            fleet.configure(fleet::SERVICES[0]);
+            deployment.set_listeners(door::Mode::Busy, false);
+            deployment.configure(deployment::SERVICES[0]);
             tokio::time::sleep(length / 2).await;
-            fleet.set_doors(door::Mode::Open, true);
+            deployment.set_listeners(door::Mode::Open, true);
         }
-        Phase::PlannedStop => fleet.restart(&halls[2], true).await?,
-        Phase::Kill => fleet.restart(&halls[4], false).await?,
+        Phase::PlannedStop => deployment.restart(&halls[2], true).await?,
+        Phase::Kill => deployment.restart(&halls[4], false).await?,
     }
     Ok(())
 }
--- a/crates/cli/src/demo/platform/mod.rs
+++ b/crates/cli/src/demo/gateways/mod.rs
@@ -1,9 +1,9 @@
 //! `yokespoke demo --platform`: gateways against stand-ins of the users' platform.
 
-mod fleet;
-mod load;
-mod phases;
-mod report;
+mod callers;
+mod deployment;
+mod faults;
+mod summary;
 
 use std::time::Duration;
 
@@ -18,10 +18,10 @@
 /// Fails when the deployment cannot be started, which says nothing about promises.
 pub async fn run(args: &args::Demo) -> anyhow::Result<exit::Code> {
     printer::note("starting gateways, upstreams and the platform's store on loopback");
-    let mut fleet = fleet::Fleet::start().await?;
+    let mut deployment = deployment::Deployment::start().await?;
     let length = Duration::from_secs(args.seconds);
-    let results = phases::run(&mut fleet, length, args.seed).await?;
-    let report = report::Report::new(&results, &fleet.records());
+    let results = faults::run(&mut deployment, length, args.seed).await?;
+    let report = summary::Report::new(&results, &deployment.records());
     match args.json {
         true => printer::line(&serde_json::to_string(&report.as_json())?),
         false => printer::line(&report.as_text()),
--- a/crates/cli/src/demo/platform/report.rs
+++ b/crates/cli/src/demo/gateways/summary.rs
@@ -1,4 +1,7 @@
-//! The report: what callers were told, against what upstreams did.
+//! The report: what responses said, against what upstreams recorded.
+//!
+//! It owns the counts and their two forms; it relies on the outcomes of the callers and the records
+//! of the upstreams.
 
 use std::collections;
 use std::time::Duration;
@@ -6,8 +9,8 @@
 use serde_json::json;
 use standin::platform::upstream;
 
-use crate::demo::platform::load;
-use crate::demo::platform::phases;
+use crate::demo::gateways::callers;
+use crate::demo::gateways::faults;
 use crate::printer;
 
 /// The report.
@@ -34,22 +37,22 @@
 impl Report {
     /// Counts.
     #[must_use]
-    pub fn new(results: &[phases::Result], records: &[upstream::Record]) -> Self {
+    pub fn new(results: &[faults::Result], records: &[upstream::Record]) -> Self {
         let mut ran: collections::HashMap<&str, u32> = collections::HashMap::new();
         for (id, times) in records.iter().flat_map(|record| &record.ran) {
             *ran.entry(id).or_default() += times;
         }
-        let times = |outcome: &load::Outcome| ran.get(outcome.id.as_str()).copied().unwrap_or(0);
+        let times = |outcome: &callers::Outcome| ran.get(outcome.id.as_str()).copied().unwrap_or(0);
         let outcomes = || results.iter().flat_map(|result| &result.outcomes);
         let count =
-            |holds: &dyn Fn(&load::Outcome) -> bool| outcomes().filter(|o| holds(o)).count();
+            |holds: &dyn Fn(&callers::Outcome) -> bool| outcomes().filter(|o| holds(o)).count();
         Self {
             rows: results.iter().map(Row::of).collect(),
             ran_twice: count(&|o| !o.is_repeatable && times(o) > 1),
             not_run_but_ran: count(&|o| {
-                !o.is_repeatable && o.told == load::Told::NotRun && times(o) > 0
+                !o.is_repeatable && o.verdict == callers::Verdict::NotRun && times(o) > 0
             }),
-            wrong: count(&|o| o.told == load::Told::Wrong),
+            wrong: count(&|o| o.verdict == callers::Verdict::Wrong),
         }
     }
 
@@ -93,18 +96,18 @@
 }
 
 impl Row {
-    fn of(result: &phases::Result) -> Self {
-        let count = |told| result.outcomes.iter().filter(|o| o.told == told).count();
-        let answered = result.outcomes.iter().filter(|o| o.told == load::Told::Whole);
+    fn of(result: &faults::Result) -> Self {
+        let count = |verdict| result.outcomes.iter().filter(|o| o.verdict == verdict).count();
+        let answered = result.outcomes.iter().filter(|o| o.verdict == callers::Verdict::Whole);
         let mut times: Vec<Duration> = answered.map(|o| o.took).collect();
         times.sort_unstable();
         let quantile = |part: usize| times.get(times.len() * part / 100).copied();
         Self {
             name: result.name.to_owned(),
             requests: result.outcomes.len(),
-            whole: count(load::Told::Whole),
-            not_run: count(load::Told::NotRun),
-            unknown: count(load::Told::Unknown),
+            whole: count(callers::Verdict::Whole),
+            not_run: count(callers::Verdict::NotRun),
+            unknown: count(callers::Verdict::Unknown),
             p50: quantile(50).unwrap_or_default(),
             p99: quantile(99).unwrap_or_default(),
         }
--- a/crates/cli/src/demo/example.rs
+++ b/crates/cli/src/demo/owners/example.rs
@@ -1,4 +1,6 @@
 //! The examples of `examples/`, moved to loopback addresses.
+//!
+//! It owns the declarations and the load that the demo starts from; it relies on the model's reader.
 
 use std::collections;
 use std::net;
@@ -56,17 +58,17 @@
 }
 
 const DIAGNE: [(&str, &str); 4] = [
-    ("services.yaml", include_str!("../../../../examples/diagne/services.yaml")),
-    ("places.yaml", include_str!("../../../../examples/diagne/places.yaml")),
-    ("caps.yaml", include_str!("../../../../examples/diagne/caps.yaml")),
-    ("routes.yaml", include_str!("../../../../examples/diagne/routes.yaml")),
+    ("services.yaml", include_str!("../../../../../examples/diagne/services.yaml")),
+    ("places.yaml", include_str!("../../../../../examples/diagne/places.yaml")),
+    ("caps.yaml", include_str!("../../../../../examples/diagne/caps.yaml")),
+    ("routes.yaml", include_str!("../../../../../examples/diagne/routes.yaml")),
 ];
 
 const TAF: [(&str, &str); 4] = [
-    ("services.yaml", include_str!("../../../../examples/taf/services.yaml")),
-    ("places.yaml", include_str!("../../../../examples/taf/places.yaml")),
-    ("caps.yaml", include_str!("../../../../examples/taf/caps.yaml")),
-    ("routes.yaml", include_str!("../../../../examples/taf/routes.yaml")),
+    ("services.yaml", include_str!("../../../../../examples/taf/services.yaml")),
+    ("places.yaml", include_str!("../../../../../examples/taf/places.yaml")),
+    ("caps.yaml", include_str!("../../../../../examples/taf/caps.yaml")),
+    ("routes.yaml", include_str!("../../../../../examples/taf/routes.yaml")),
 ];
 
 impl Example {
--- a/crates/cli/src/demo/fleet.rs
+++ b/crates/cli/src/demo/owners/fleet.rs
@@ -1,4 +1,7 @@
 //! The stand-ins and nodes of a running example.
+//!
+//! It owns their start, their readiness and their stop; it relies on [`super::example`] for what to
+//! start.
 
 use std::collections;
 use std::net;
@@ -18,7 +21,7 @@
 use standin::vms;
 
 use crate::client;
-use crate::demo::example;
+use crate::demo::owners::example;
 
 /// Nodes in each region.
 const NODES: usize = 4;
@@ -35,7 +38,7 @@
 /// Time for the fleet to become ready.
 const START_TIME: Duration = Duration::from_secs(20);
 
-/// Time between two looks at whether it is.
+/// Time between two checks that it is ready.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 
 /// A running example.
@@ -45,7 +48,7 @@
     pub store: store::Store,
     /// The VM list.
     pub vms: vms::Vms,
-    /// What ran.
+    /// What ran at the upstreams.
     pub truth: sync::Arc<truth::Truth>,
     /// The upstreams, by service and name.
     pub upstreams: collections::BTreeMap<(id::Service, id::Upstream), upstream::Upstream>,
@@ -62,7 +65,7 @@
     Listed,
     /// The declarations are in force.
     InForce,
-    /// Every home has all slots of its upstreams.
+    /// Every owner has all slots of its upstreams.
     Borrowed,
 }
 
@@ -104,7 +107,7 @@
         Ok(fleet)
     }
 
-    /// Returns a client of any living node's face for operators.
+    /// Returns a client of a living node's address for operators.
     ///
     /// # Errors
     ///
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Starts the upstreams, and returns the declarations with their true addresses.
+    /// Starts the upstreams, and returns the declarations with the addresses they listen on.
     async fn start_upstreams(
         &mut self,
         example: &example::Example,
@@ -266,7 +269,7 @@
         })
     }
 
-    /// Returns whether every home has all slots of its upstreams.
+    /// Returns whether every owner has all slots of its upstreams.
     async fn all_borrowed(&self) -> bool {
         for node in self.nodes.values() {
             let short = node.handle().look(|state| {
--- a/crates/cli/src/demo/hold.rs
+++ b/crates/cli/src/demo/owners/hold.rs
@@ -1,21 +1,21 @@
-//! `yokespoke demo --hold`: the example kept up, for trying things out.
+//! `yokespoke demo --hold`: the example runs until Ctrl-C, to try commands on it.
 
 use std::collections;
 use std::net;
 
 use serde::Serialize;
 
-use crate::demo::example;
-use crate::demo::fleet;
+use crate::demo::owners::example;
+use crate::demo::owners::fleet;
 use crate::exit;
 use crate::printer;
 
 /// Where everything is.
 #[derive(Debug, Serialize)]
 struct Where {
-    /// Nodes' faces for callers.
+    /// Addresses of the nodes for callers.
     callers: Vec<net::SocketAddr>,
-    /// Nodes' faces for operators.
+    /// Addresses of the nodes for operators.
     operators: Vec<net::SocketAddr>,
     /// The store.
     store: net::SocketAddr,
--- a/crates/cli/src/demo/phase.rs
+++ b/crates/cli/src/demo/owners/phase.rs
@@ -53,8 +53,6 @@
 pub struct Measured {
     /// From the planned start of a drain, or the sign of a leaving, to the last new work.
     pub drain_time: Option<Duration>,
-    /// What an operator was told.
-    pub told: Option<String>,
     /// What did not go as promised.
     pub broken: Vec<String>,
 }
--- a/crates/cli/src/demo/phases.rs
+++ b/crates/cli/src/demo/owners/phases.rs
@@ -1,4 +1,6 @@
-//! The phases of the demo: what is done to the fleet while its callers go on.
+//! The phases of the demo: what is done to the fleet while its callers send.
+//!
+//! It owns their order and what each measures; it relies on the fleet to inject the faults.
 
 use std::sync;
 use std::sync::atomic;
@@ -13,11 +15,11 @@
 use tokio::sync::{Mutex, watch};
 use tokio::task::JoinSet;
 
-use crate::demo::example;
-use crate::demo::fleet;
-use crate::demo::phase::{Measured, Phase};
-use crate::demo::report;
-use crate::demo::traffic;
+use crate::demo::owners::example;
+use crate::demo::owners::fleet;
+use crate::demo::owners::phase::{Measured, Phase};
+use crate::demo::owners::report;
+use crate::demo::owners::traffic;
 use crate::printer;
 
 /// Time from the declaration of a hall's drain to its start: three windows of the examples' caps.
@@ -189,7 +191,7 @@
     Ok(Measured::default())
 }
 
-/// Takes the store away, and asks for a change meanwhile: it must be told honestly.
+/// Takes the store away, and asks for a change meanwhile, which must be answered as unavailable.
 async fn outage(
     fleet: &fleet::Fleet,
     example: &example::Example,
@@ -201,7 +203,7 @@
     let resource = example.resources.last().cloned();
     if let Some(resource) = resource {
         let during = fleet.apply(change::Step::Put { resource: resource.clone() }).await?;
-        measured.told = Some(format!("{during:?}"));
+
         if during != accept::Outcome::Unavailable {
             measured.broken.push(format!("a change in the outage was answered {during:?}"));
         }
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/owners/report.rs
@@ -1,13 +1,17 @@
 //! The report of the demo: what callers saw, against what ran.
+//!
+//! It owns the counts, the verdict on each promise and both forms of the report; it relies on the
+//! callers' log and the upstreams' record.
 
 use std::time::{Duration, Instant};
 
+use hdrhistogram::Histogram;
 use serde_json::json;
 use standin::truth;
 
-use crate::demo::example;
-use crate::demo::phase;
-use crate::demo::traffic;
+use crate::demo::owners::example;
+use crate::demo::owners::phase;
+use crate::demo::owners::traffic;
 use crate::printer;
 
 /// Length of the spans in which shares are counted.
@@ -23,6 +27,20 @@
 /// Longest time in which a leaving upstream may still get new work.
 const LEAVING_TIME: Duration = Duration::from_secs(5);
 
+/// Names of the table's columns.
+const COLUMNS: [&str; 10] = [
+    "phase",
+    "requests",
+    "whole",
+    "not run",
+    "may have run",
+    "lost",
+    "p50 ms",
+    "p99 ms",
+    "p999 ms",
+    "drain s",
+];
+
 /// The report.
 #[derive(Debug)]
 pub struct Report {
@@ -76,8 +94,8 @@
         let total = Row::new("all", records.iter())?;
         let once = records.iter().filter(|r| r.is_once);
         let ran_twice = once.filter(|r| truth.runs(&r.id) > 1).count();
-        let told_not_run = records.iter().filter(|r| r.end == traffic::End::NotRun);
-        let not_run_but_ran = told_not_run.filter(|r| truth.runs(&r.id) > 0).count();
+        let refused = records.iter().filter(|r| r.end == traffic::End::NotRun);
+        let not_run_but_ran = refused.filter(|r| truth.runs(&r.id) > 0).count();
         let (shift, cap) = greatest_shift(example, truth, load);
         let mut report = Self {
             rows,
@@ -124,21 +142,9 @@
     /// Returns the report as a table with its conclusion.
     #[must_use]
     pub fn as_text(&self) -> String {
-        let header = [
-            "phase",
-            "requests",
-            "whole",
-            "not run",
-            "may have run",
-            "lost",
-            "p50 ms",
-            "p99 ms",
-            "p999 ms",
-            "drain s",
-        ];
         let rows: Vec<Vec<String>> =
             self.rows.iter().chain([&self.total]).map(Row::cells).collect();
-        let mut lines = vec![printer::table(&header, &rows), String::new()];
+        let mut lines = vec![printer::table(&COLUMNS, &rows), String::new()];
         lines.push(format!("ran twice: {}", self.ran_twice));
         lines.push(format!("told not run, but ran: {}", self.not_run_but_ran));
         lines.push(format!("requests that found their upstream full: {}", self.over_slots));
@@ -213,7 +219,7 @@
         records: impl Iterator<Item = &'a traffic::Record>,
     ) -> anyhow::Result<Self> {
         let mut row = Self { name: name.to_owned(), ..Self::default() };
-        let mut times = traffic::histogram()?;
+        let mut times = histogram()?;
         for record in records {
             row.requests += 1;
             match record.end {
@@ -271,8 +277,8 @@
 
 /// Returns the greatest shift over its service's cap, and that cap.
 ///
-/// Only what arrives while callers send counts: afterwards only what waited at full homes arrives,
-/// and its shares are those of the queues.
+/// Only what arrives while callers send counts: afterwards only what was queued at full owners
+/// arrives, and its shares are those of the queues.
 fn greatest_shift(
     example: &example::Example,
     truth: &truth::Truth,
@@ -287,3 +293,12 @@
     let over = |(shift, cap): &(truth::Shift, f64)| shift.share - cap;
     shifts.max_by(|a, b| over(a).total_cmp(&over(b))).unwrap_or_default()
 }
+
+/// Returns an empty histogram of times in microseconds.
+///
+/// # Errors
+///
+/// Never: the bounds are constants that it accepts.
+fn histogram() -> anyhow::Result<Histogram<u64>> {
+    Ok(Histogram::new_with_bounds(1, 120_000_000, 3)?)
+}
--- a/crates/cli/src/demo/traffic.rs
+++ b/crates/cli/src/demo/owners/traffic.rs
@@ -1,4 +1,7 @@
-//! The demo's callers: they look up, send, and try again as the callers' pages say.
+//! The demo's callers: they look up a node, send, and retry as the callers' pages say.
+//!
+//! It owns the record of what each caller saw; it relies on the stand-ins' HTTP client and their
+//! answer pattern.
 
 use std::net;
 use std::sync;
@@ -6,7 +9,6 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use hdrhistogram::Histogram;
 use http::{Method, Request, Response, header};
 use http_body_util::Full;
 use rand::rngs;
@@ -16,7 +18,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use crate::demo::example;
+use crate::demo::owners::example;
 use standin::client as http1;
 
 /// Times a caller sends one request.
@@ -39,7 +41,7 @@
 pub enum End {
     /// The whole answer came.
     Whole,
-    /// It was told not to have run.
+    /// The response says that it did not run.
     NotRun,
     /// It may have run, by a verdict or for want of any answer.
     MayHaveRun,
@@ -87,11 +89,11 @@
 pub struct Stream {
     /// What is asked for.
     pub load: example::Load,
-    /// By whom.
+    /// Where its callers are.
     pub source: example::Source,
     /// Requests a second.
     pub rate: f64,
-    /// Nodes' faces for callers that a caller knows at the start.
+    /// Addresses for callers of the nodes that a caller knows at the start.
     pub nodes: Vec<net::SocketAddr>,
     /// Seed of its random choices.
     pub seed: u64,
@@ -102,7 +104,7 @@
 }
 
 impl Stream {
-    /// Sends at fixed times until told to stop, then waits for what is out.
+    /// Sends at fixed times until `stop` is set, then waits for the requests in flight.
     pub async fn run(self, stop: watch::Receiver<bool>) {
         let began = Instant::now();
         let mut random = rngs::SmallRng::seed_from_u64(self.seed);
@@ -293,12 +295,3 @@
         },
     }
 }
-
-/// Returns an empty histogram of times in microseconds.
-///
-/// # Errors
-///
-/// Never: the bounds are constants that it accepts.
-pub fn histogram() -> anyhow::Result<Histogram<u64>> {
-    Ok(Histogram::new_with_bounds(1, 120_000_000, 3)?)
-}
--- a/crates/node/tests/platform_names.rs
+++ b/crates/node/tests/platform_names.rs
@@ -61,8 +61,8 @@
 /// the stand-ins and the demo, which play the platform's upstreams, callers and store, and the modules
 /// that pass items on as they are.
 const UNDECODED: [(&str, &[&str]); 3] = [
-    ("headers", &["standin/src/platform", "cli/src/demo/platform"]),
-    ("config", &["cli/src/demo/platform"]),
+    ("headers", &["standin/src/platform", "cli/src/demo/gateways"]),
+    ("config", &["cli/src/demo/gateways"]),
     (
         "store::item",
         &[
