--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -16,7 +16,7 @@
 use node::common::logging;
 use node::owner::operators::access;
 use node::owner::settings;
-use standin::{client, store, truth};
+use standin::{client, record, store};
 
 use crate::output;
 
@@ -78,8 +78,8 @@
 async fn measure() -> anyhow::Result<output::Output> {
     let any = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
     let store = store::Store::start(any).await?;
-    let truth = sync::Arc::new(truth::Truth::default());
-    let started = standin::upstream::Upstream::start(any, spec(), truth).await?;
+    let record = sync::Arc::new(record::Record::default());
+    let started = standin::upstream::Upstream::start(any, spec(), record).await?;
     let first = node::owner::node::Node::start(&settings("cost-1", store.address, &[]))?;
     let seeds = [first.listen.peers];
     let second = node::owner::node::Node::start(&settings("cost-2", store.address, &seeds))?;
--- a/crates/cli/src/demo/gateways/deployment.rs
+++ b/crates/cli/src/demo/gateways/deployment.rs
@@ -10,7 +10,7 @@
 use ::platform::{config, fact, upstream as entry};
 use model::{discovery, document, id, route, routing};
 use node::gateway::{settings, thread};
-use standin::platform::{door, store, upstream};
+use standin::platform::{listener, store, upstream};
 
 /// Regions, each with two halls.
 const REGIONS: [&str; 3] = ["east", "north", "west"];
@@ -39,7 +39,7 @@
     /// The platform's store.
     pub store: store::Store,
     /// The gateways, by name, each with its own listener of the store.
-    pub gateways: collections::BTreeMap<String, (thread::Thread, sync::Arc<door::Door>)>,
+    pub gateways: collections::BTreeMap<String, (thread::Thread, sync::Arc<listener::Listener>)>,
     /// Where callers may send requests; changes as gateways come and go.
     pub addresses: sync::Arc<sync::RwLock<Vec<net::SocketAddr>>>,
     upstreams: Vec<(discovery::Entry, upstream::Upstream)>,
@@ -112,17 +112,17 @@
     }
 
     /// Lets one upstream in `every` show `behavior`, the others answer correctly.
-    pub fn misbehave(&self, behavior: upstream::Manner, every: usize) {
+    pub fn misbehave(&self, behavior: upstream::Behavior, every: usize) {
         for (index, (_, standin)) in self.upstreams.iter().enumerate() {
             standin.set(match index % every {
                 0 => behavior,
-                _ => upstream::Manner::Slow(WORK),
+                _ => upstream::Behavior::Slow(WORK),
             });
         }
     }
 
     /// Sets how the store answers every gateway, or every second one.
-    pub fn set_listeners(&self, mode: door::Mode, is_for_all: bool) {
+    pub fn set_listeners(&self, mode: listener::Mode, is_for_all: bool) {
         for (index, (_, listener)) in self.gateways.values().enumerate() {
             if is_for_all || index % 2 == 0 {
                 listener.set(mode);
@@ -163,7 +163,7 @@
     ) -> anyhow::Result<()> {
         let name = format!("{service}-{hall}-{index}");
         let standin = upstream::Upstream::start(&name).await?;
-        standin.set(upstream::Manner::Slow(WORK));
+        standin.set(upstream::Behavior::Slow(WORK));
         let listed = discovery::Entry {
             id: id::Upstream::new(&name),
             service: id::Service::new(service),
--- a/crates/cli/src/demo/gateways/faults.rs
+++ b/crates/cli/src/demo/gateways/faults.rs
@@ -5,7 +5,7 @@
 use std::sync;
 use std::time::Duration;
 
-use standin::platform::{door, upstream};
+use standin::platform::{listener, upstream};
 
 use crate::demo::gateways::callers;
 use crate::demo::gateways::deployment;
@@ -102,15 +102,15 @@
         Phase::UpstreamLeaves => deployment.drain_upstream(&halls[1]),
         Phase::NewConfiguration => deployment.configure(deployment::SERVICES[1]),
         Phase::LostAnswers => {
-            deployment.misbehave(upstream::Manner::Lost, LOST_EVERY);
+            deployment.misbehave(upstream::Behavior::Lost, LOST_EVERY);
             tokio::time::sleep(length / 2).await;
-            deployment.misbehave(upstream::Manner::Lost, usize::MAX);
+            deployment.misbehave(upstream::Behavior::Lost, usize::MAX);
         }
         Phase::StoreTurnsSomeAway => {
-            deployment.set_listeners(door::Mode::Busy, false);
+            deployment.set_listeners(listener::Mode::Busy, false);
             deployment.configure(deployment::SERVICES[0]);
             tokio::time::sleep(length / 2).await;
-            deployment.set_listeners(door::Mode::Open, true);
+            deployment.set_listeners(listener::Mode::Open, true);
         }
         Phase::PlannedStop => deployment.restart(&halls[2], true).await?,
         Phase::Kill => deployment.restart(&halls[4], false).await?,
--- a/crates/cli/src/demo/owners/fleet.rs
+++ b/crates/cli/src/demo/owners/fleet.rs
@@ -15,8 +15,8 @@
 use node::common::store::accept;
 use node::owner::operators::access;
 use node::owner::settings;
+use standin::record;
 use standin::store;
-use standin::truth;
 use standin::upstream;
 use standin::vms;
 
@@ -49,7 +49,7 @@
     /// The VM list.
     pub vms: vms::Vms,
     /// What ran at the upstreams.
-    pub truth: sync::Arc<truth::Truth>,
+    pub record: sync::Arc<record::Record>,
     /// The upstreams, by service and name.
     pub upstreams: collections::BTreeMap<(id::Service, id::Upstream), upstream::Upstream>,
     /// The nodes, by name.
@@ -89,11 +89,11 @@
         let any = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
         let store = store::Store::start(any).await?;
         let vms = vms::Vms::start(any, LAG).await?;
-        let truth = sync::Arc::new(truth::Truth::default());
+        let record = sync::Arc::new(record::Record::default());
         let mut fleet = Self {
             store,
             vms,
-            truth,
+            record,
             upstreams: collections::BTreeMap::new(),
             nodes: collections::BTreeMap::new(),
             token: client::new_operation(),
@@ -165,8 +165,8 @@
                     report_lag: REPORT_LAG,
                 };
                 let at = (declared.address.ip(), 0).into();
-                let truth = sync::Arc::clone(&self.truth);
-                let started = upstream::Upstream::start(at, spec, truth).await?;
+                let record = sync::Arc::clone(&self.record);
+                let started = upstream::Upstream::start(at, spec, record).await?;
                 declared.address = started.address;
                 self.vms.fill([started.address.ip()]);
                 let key = (service.name.clone(), declared.name.clone());
--- a/crates/cli/src/demo/owners/phases.rs
+++ b/crates/cli/src/demo/owners/phases.rs
@@ -53,7 +53,7 @@
     let _ = stop.send(true);
     while streams.join_next().await.is_some() {}
     let mut fleet = fleet.lock().await;
-    let report = report::Report::new(example, &fleet.truth, &log.records(), measured, load)?;
+    let report = report::Report::new(example, &fleet.record, &log.records(), measured, load)?;
     fleet.stop().await;
     Ok(report)
 }
@@ -139,7 +139,7 @@
     target: drain::Target,
     lead: Duration,
     until: Instant,
-    is_hit: impl Fn(&standin::truth::Arrival) -> bool,
+    is_hit: impl Fn(&standin::record::Arrival) -> bool,
 ) -> anyhow::Result<Measured> {
     let start = Instant::now() + lead;
     let wall = SystemTime::now() + lead;
@@ -154,7 +154,7 @@
         other => measured.broken.push(format!("the drain was not accepted: {other:?}")),
     }
     tokio::time::sleep_until((until - Duration::from_millis(100)).into()).await;
-    let last = fleet.truth.last_arrival(is_hit);
+    let last = fleet.record.last_arrival(is_hit);
     measured.drain_time = last.map(|at| at.saturating_duration_since(start));
     tokio::time::sleep_until(until.into()).await;
     Ok(measured)
@@ -175,7 +175,7 @@
     fleet.vms.set(upstream.address.ip(), Some(vms::Standing::Leaving));
     tokio::time::sleep(time).await;
     let name = declared.name.to_string();
-    let last = fleet.truth.last_arrival(|a| a.upstream == name);
+    let last = fleet.record.last_arrival(|a| a.upstream == name);
     let drain_time = last.map(|at| at.saturating_duration_since(began));
     Ok(Measured { drain_time, ..Measured::default() })
 }
--- a/crates/cli/src/demo/owners/report.rs
+++ b/crates/cli/src/demo/owners/report.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use serde_json::json;
-use standin::truth;
+use standin::record;
 
 use crate::demo::owners::example;
 use crate::demo::owners::phase;
@@ -50,7 +50,7 @@
     not_run_but_ran: usize,
     over_slots: u64,
     greatest_use: f64,
-    shift: truth::Shift,
+    shift: record::Shift,
     cap: f64,
     broken: Vec<String>,
 }
@@ -79,7 +79,7 @@
     /// Never in practice: the histogram's bounds are constants.
     pub fn new(
         example: &example::Example,
-        truth: &truth::Truth,
+        record: &record::Record,
         records: &[traffic::Record],
         measured: Vec<phase::Measured>,
         load: (Instant, Instant),
@@ -93,17 +93,17 @@
         }
         let total = Row::new("all", records.iter())?;
         let once = records.iter().filter(|r| r.is_once);
-        let ran_twice = once.filter(|r| truth.runs(&r.id) > 1).count();
+        let ran_twice = once.filter(|r| record.runs(&r.id) > 1).count();
         let refused = records.iter().filter(|r| r.end == traffic::End::NotRun);
-        let not_run_but_ran = refused.filter(|r| truth.runs(&r.id) > 0).count();
-        let (shift, cap) = greatest_shift(example, truth, load);
+        let not_run_but_ran = refused.filter(|r| record.runs(&r.id) > 0).count();
+        let (shift, cap) = greatest_shift(example, record, load);
         let mut report = Self {
             rows,
             total,
             ran_twice,
             not_run_but_ran,
-            over_slots: truth.over_slots(),
-            greatest_use: truth.greatest_use(),
+            over_slots: record.over_slots(),
+            greatest_use: record.greatest_use(),
             shift,
             cap,
             broken: measured.iter().flat_map(|m| m.broken.clone()).collect(),
@@ -281,16 +281,16 @@
 /// arrives, and its shares are those of the queues.
 fn greatest_shift(
     example: &example::Example,
-    truth: &truth::Truth,
+    record: &record::Record,
     load: (Instant, Instant),
-) -> (truth::Shift, f64) {
+) -> (record::Shift, f64) {
     let shifts = example.caps().map(|cap| {
         let window = cap.window.saturating_sub(SPAN);
         let name = cap.service.as_str();
-        let shift = truth.greatest_shift(name, load, window, SPAN, LEAST_IN_SPAN);
+        let shift = record.greatest_shift(name, load, window, SPAN, LEAST_IN_SPAN);
         (shift, cap.share.as_f64())
     });
-    let over = |(shift, cap): &(truth::Shift, f64)| shift.share - cap;
+    let over = |(shift, cap): &(record::Shift, f64)| shift.share - cap;
     shifts.max_by(|a, b| over(a).total_cmp(&over(b))).unwrap_or_default()
 }
 
--- a/crates/node/tests/forms/datagrams.rs
+++ b/crates/node/tests/forms/datagrams.rs
@@ -135,7 +135,7 @@
 async fn a_gateway_sends_its_loads_and_its_heartbeat() {
     let rig = rig::Rig::start(&rig::routes()).await;
     let desk = rig.upstream("i-0", "desk", "north-1").await;
-    desk.set(upstream::Manner::Slow(rig::PATIENCE));
+    desk.set(upstream::Behavior::Slow(rig::PATIENCE));
     let door = store::open(&rig).await;
     let gateway = rig.gateway("n-1", "north-1", &door).await;
     let peer = Peer::start(&gateway).await;
--- a/crates/node/tests/forms/extracts.rs
+++ b/crates/node/tests/forms/extracts.rs
@@ -6,7 +6,7 @@
 use node::gateway::extracts;
 use node::gateway::peer;
 use platform::store::item;
-use standin::platform::door;
+use standin::platform::listener;
 use tokio::io::{AsyncBufReadExt as _, AsyncWriteExt as _, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use wire::gateway::extract;
@@ -98,7 +98,7 @@
     let rig = rig::Rig::start(&rig::routes()).await;
     let door = store::open(&rig).await;
     let closed = store::open(&rig).await;
-    closed.set(door::Mode::Busy);
+    closed.set(listener::Mode::Busy);
     let complete = rig.gateway("n-1", "north-1", &door).await;
     let empty = rig.gateway_at("n-2", "north-1", closed.address, &[]).await;
     assert_eq!(ask(empty.peers, "/peer/changes?0").await.status, 503);
@@ -122,7 +122,7 @@
     let seed = listener.local_addr().expect("it listens");
     let rig = rig::Rig::start(&[]).await;
     let door = store::open(&rig).await;
-    door.set(door::Mode::Busy);
+    door.set(listener::Mode::Busy);
     let gateway = rig.gateway_at("n-1", "north-1", door.address, &[seed]).await;
     let (stream, _) = listener.accept().await.expect("the gateway connects");
     let (asked, mut stream) = head(stream).await;
--- a/crates/node/tests/forms/store.rs
+++ b/crates/node/tests/forms/store.rs
@@ -2,11 +2,11 @@
 
 use std::sync;
 
-use standin::platform::door;
+use standin::platform::listener;
 
 use crate::rig;
 
 /// Opens an address of the rig's store.
-pub async fn open(rig: &rig::Rig) -> sync::Arc<door::Door> {
+pub async fn open(rig: &rig::Rig) -> sync::Arc<listener::Listener> {
     rig.store.open().await.expect("the store opens")
 }
--- a/crates/node/tests/gateway/configuration.rs
+++ b/crates/node/tests/gateway/configuration.rs
@@ -1,7 +1,7 @@
 //! Which configuration, which upstreams and which halls are in force.
 
 use platform::fact;
-use standin::platform::upstream::Manner;
+use standin::platform::upstream::Behavior;
 
 use crate::rig::{self, Rig, Route};
 
@@ -96,7 +96,7 @@
     let rig = Rig::start(&rig::routes()).await;
     let near = rig.upstream("i-near", "desk", "north-1").await;
     let far = rig.upstream("i-far", "desk", "south-1").await;
-    far.set(Manner::Sound);
+    far.set(Behavior::Sound);
     let door = rig.store.open().await.expect("the store opens");
     let gateway = rig.gateway("n-1", "north-1", &door).await;
     let key = format!("{}north-1", fact::EVACUATIONS);
@@ -124,12 +124,12 @@
     let door = rig.store.open().await.expect("the store opens");
     let gateway = rig.gateway("n-1", "north-1", &door).await;
     // The store is away while the change is made and its history goes.
-    door.set(standin::platform::door::Mode::Busy);
+    door.set(standin::platform::listener::Mode::Busy);
     rig.store.put("op/wakes-the-watch", b"{}");
     rig::until("the store is lost", async || gateway.has_logged(&["event=store-lost"])).await;
     rig.configure(&read_by("shelf"));
     rig.store.forget();
-    door.set(standin::platform::door::Mode::Open);
+    door.set(standin::platform::listener::Mode::Open);
     let mut caller = gateway.caller().await;
     rig::until("the new version is in force", async || {
         caller.get("/read/a", "id").await.text() == "answer of i-shelf to id"
--- a/crates/node/tests/gateway/fleet.rs
+++ b/crates/node/tests/gateway/fleet.rs
@@ -1,7 +1,7 @@
 //! Several gateways: what they learn from each other, and whom look-ups name.
 
 use platform::fact;
-use standin::platform::door::Mode;
+use standin::platform::listener::Mode;
 
 use crate::rig::{self, Rig};
 
--- a/crates/node/tests/gateway/requests.rs
+++ b/crates/node/tests/gateway/requests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use standin::platform::upstream::{Manner, Upstream};
+use standin::platform::upstream::{Behavior, Upstream};
 
 use crate::client;
 use crate::rig::{self, Gateway, Rig};
@@ -75,7 +75,7 @@
 #[tokio::test]
 async fn mixed_a_surplus_answer_reaches_nobody() {
     let (_rig, upstreams, gateway) = desk(1).await;
-    upstreams[0].set(Manner::Surplus);
+    upstreams[0].set(Behavior::Surplus);
     let mut caller = gateway.caller().await;
     for index in 0..20 {
         let id = format!("id-{index}");
@@ -88,7 +88,7 @@
 #[tokio::test]
 async fn mixed_an_answer_to_another_request_is_not_passed_on() {
     let (_rig, upstreams, gateway) = desk(1).await;
-    upstreams[0].set(Manner::Crossed);
+    upstreams[0].set(Behavior::Crossed);
     let answer = gateway.caller().await.post("/write/a", "id-1", "x").await;
     assert_eq!(answer.status, 502);
     assert_eq!(answer.header("yokespoke-response-seal"), None);
@@ -97,7 +97,7 @@
 #[tokio::test]
 async fn mixed_an_answer_that_breaks_off_does_not_look_complete() {
     let (_rig, upstreams, gateway) = desk(1).await;
-    for manner in [Manner::Cut, Manner::Garbage] {
+    for manner in [Behavior::Cut, Behavior::Garbage] {
         upstreams[0].set(manner);
         let answer = gateway.caller().await.post("/write/a", &format!("{manner:?}"), "x").await;
         assert_eq!(answer.status, 502, "{manner:?}");
@@ -107,7 +107,7 @@
 #[tokio::test]
 async fn mixed_an_answer_without_a_length_is_passed_on_whole() {
     let (_rig, upstreams, gateway) = desk(1).await;
-    upstreams[0].set(Manner::Unframed);
+    upstreams[0].set(Behavior::Unframed);
     let answer = gateway.caller().await.get("/read/a", "id-1").await;
     assert!(answer.is_whole && answer.text() == "answer of i-0 to id-1", "{answer:?}");
 }
@@ -115,7 +115,7 @@
 #[tokio::test]
 async fn twice_what_may_not_be_repeated_runs_once_when_its_answer_is_lost() {
     let (_rig, upstreams, gateway) = desk(3).await;
-    for manner in [Manner::Lost, Manner::Cut, Manner::Crossed, Manner::UnprovedRefusal] {
+    for manner in [Behavior::Lost, Behavior::Cut, Behavior::Crossed, Behavior::UnprovedRefusal] {
         upstreams.iter().for_each(|u| u.set(manner));
         let id = format!("{manner:?}");
         let answer = gateway.caller().await.post("/write/a", &id, "x").await;
@@ -129,7 +129,7 @@
     // Whichever upstream the object prefers, its answers are lost.
     assert_eq!(gateway.caller().await.get("/read/a", "first").await.status, 200);
     let preferred = usize::from(upstreams[1].record().ran.contains_key("first"));
-    upstreams[preferred].set(Manner::Lost);
+    upstreams[preferred].set(Behavior::Lost);
     let answer = gateway.caller().await.get("/read/a", "second").await;
     assert_eq!(answer.status, 200);
     assert_eq!(ran(&upstreams, "second"), 2);
@@ -139,7 +139,7 @@
 #[tokio::test]
 async fn refused_a_full_upstream_has_not_run_the_request() {
     let (_rig, upstreams, gateway) = desk(1).await;
-    upstreams[0].set(Manner::Full);
+    upstreams[0].set(Behavior::Full);
     let answer = gateway.caller().await.post("/write/a", "id-1", "x").await;
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
@@ -149,7 +149,7 @@
 #[tokio::test]
 async fn budget_a_request_goes_to_no_more_upstreams_than_its_route_allows() {
     let (_rig, upstreams, gateway) = desk(4).await;
-    upstreams.iter().for_each(|u| u.set(Manner::Full));
+    upstreams.iter().for_each(|u| u.set(Behavior::Full));
     let answer = gateway.caller().await.get("/read/a", "id-1").await;
     assert_eq!(answer.status, 503);
     let arrivals: u32 = upstreams.iter().map(|u| u.record().arrivals).sum();
@@ -178,7 +178,7 @@
 #[tokio::test]
 async fn gone_an_upstream_learns_that_the_caller_left() {
     let (_rig, upstreams, gateway) = desk(1).await;
-    upstreams[0].set(Manner::Slow(Duration::from_secs(60)));
+    upstreams[0].set(Behavior::Slow(Duration::from_secs(60)));
     let mut caller = gateway.caller().await;
     caller.write(client::request("GET", "/read/a", "id-1", "").as_bytes()).await;
     rig::until("it runs", async || ran(&upstreams, "id-1") == 1).await;
@@ -193,7 +193,7 @@
     routes[0].timeout = "300ms";
     let rig = Rig::start(&routes).await;
     let upstream = rig.upstream("i-0", "desk", "north-1").await;
-    upstream.set(Manner::Slow(Duration::from_secs(60)));
+    upstream.set(Behavior::Slow(Duration::from_secs(60)));
     let door = rig.store.open().await.expect("the store opens");
     let gateway = rig.gateway("n-1", "north-1", &door).await;
     assert_eq!(gateway.caller().await.get("/read/a", "id-1").await.status, 504);
@@ -207,7 +207,7 @@
 #[tokio::test]
 async fn route_an_address_that_another_upstream_has_runs_nothing() {
     let (_rig, upstreams, gateway) = desk(2).await;
-    upstreams.iter().for_each(|u| u.set(Manner::Replaced));
+    upstreams.iter().for_each(|u| u.set(Behavior::Replaced));
     let answer = gateway.caller().await.post("/write/a", "id-1", "x").await;
     assert_eq!((answer.status, ran(&upstreams, "id-1")), (503, 0));
     // Both are known not to be there, so neither is asked again.
--- a/crates/node/tests/gateway/rig.rs
+++ b/crates/node/tests/gateway/rig.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use platform::fact;
-use standin::platform::{door, store, upstream};
+use standin::platform::{listener, store, upstream};
 
 use crate::client;
 
@@ -121,7 +121,7 @@
     }
 
     /// Starts a gateway in `hall` that calls the store at `door`, and waits until it is ready.
-    pub async fn gateway(&self, name: &str, hall: &str, door: &door::Door) -> Gateway {
+    pub async fn gateway(&self, name: &str, hall: &str, door: &listener::Listener) -> Gateway {
         let gateway = self.gateway_at(name, hall, door.address, &[]).await;
         gateway.wait_ready().await;
         gateway
--- a/crates/node/tests/gateway/stop.rs
+++ b/crates/node/tests/gateway/stop.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rustix::process::Signal;
-use standin::platform::upstream::Manner;
+use standin::platform::upstream::Behavior;
 
 use crate::client;
 use crate::rig::{self, Rig};
@@ -16,14 +16,14 @@
     let mut gateway = rig.gateway("n-1", "north-1", &door).await;
     let mut resting = gateway.caller().await;
     assert_eq!(resting.get("/read/a", "before").await.status, 200);
-    upstream.set(Manner::Slow(Duration::from_millis(1_500)));
+    upstream.set(Behavior::Slow(Duration::from_millis(1_500)));
     let mut running = gateway.caller().await;
     running.write(client::request("POST", "/write/a", "running", "x").as_bytes()).await;
     rig::until("it runs", async || upstream.record().ran.contains_key("running")).await;
     gateway.signal(Signal::TERM);
     rig::until("it is not ready", async || !gateway.is_ready().await).await;
     // Callers with an open connection, or an old look-up, are still served.
-    upstream.set(Manner::Sound);
+    upstream.set(Behavior::Sound);
     let late = resting.get("/read/a", "late").await;
     assert_eq!((late.status, late.header("connection")), (200, Some("close")));
     assert_eq!(gateway.caller().await.get("/read/a", "new").await.status, 200);
@@ -54,7 +54,7 @@
 async fn lost_changed_settings_touch_no_connection() {
     let rig = Rig::start(&rig::routes()).await;
     let upstream = rig.upstream("i-0", "desk", "north-1").await;
-    upstream.set(Manner::Slow(Duration::from_millis(300)));
+    upstream.set(Behavior::Slow(Duration::from_millis(300)));
     let door = rig.store.open().await.expect("the store opens");
     let gateway = rig.gateway("n-1", "north-1", &door).await;
     let mut caller = gateway.caller().await;
--- a/crates/node/tests/process/rig.rs
+++ b/crates/node/tests/process/rig.rs
@@ -13,7 +13,7 @@
 use http_body_util::Full;
 use node::owner::operators::access;
 use serde_json::Value;
-use standin::{client, pattern, store, truth, upstream, vms};
+use standin::{client, pattern, record, store, upstream, vms};
 
 /// The operators' token.
 pub const TOKEN: &str = "rig-token";
@@ -38,7 +38,7 @@
 pub struct Rig {
     pub store: store::Store,
     pub vms: vms::Vms,
-    pub truth: sync::Arc<truth::Truth>,
+    pub truth: sync::Arc<record::Record>,
     pub nodes: collections::BTreeMap<String, Process>,
     pub http: client::Client,
     upstreams: Vec<upstream::Upstream>,
@@ -78,7 +78,7 @@
         let mut rig = Self {
             store: store::Store::start(any).await.expect("the store starts"),
             vms: vms::Vms::start(any, Duration::from_millis(500)).await.expect("the list starts"),
-            truth: sync::Arc::new(truth::Truth::default()),
+            truth: sync::Arc::new(record::Record::default()),
             nodes: collections::BTreeMap::new(),
             http: client::Client::new(None),
             upstreams: Vec::new(),
--- a/crates/node/tests/soak/fault.rs
+++ b/crates/node/tests/soak/fault.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rand::{RngExt as _, rngs};
-use standin::platform::door;
+use standin::platform::listener;
 use standin::platform::upstream;
 
 use crate::link;
@@ -28,13 +28,13 @@
     /// An upstream's connections.
     UpstreamLink(usize, link::Mode),
     /// The store treats one gateway so.
-    Door(usize, door::Mode),
+    Door(usize, listener::Mode),
     /// The store treats all gateways so, and entries lapse meanwhile.
-    StoreAway(door::Mode),
+    StoreAway(listener::Mode),
     /// The store forgets its history.
     Compaction,
     /// An upstream answers so.
-    Manner(usize, upstream::Manner),
+    Manner(usize, upstream::Behavior),
     /// A gateway stands still.
     Pause(usize),
     /// A gateway is killed, and started again at another address.
@@ -101,7 +101,7 @@
         6 | 7 => Fault::Door(gateway, door(random)),
         8 => Fault::StoreAway(door(random)),
         9 => Fault::Compaction,
-        10..=13 => Fault::Manner(upstream, upstream::Manner::Lost),
+        10..=13 => Fault::Manner(upstream, upstream::Behavior::Lost),
         14 | 15 => Fault::Pause(gateway),
         16 | 17 => Fault::Kill(gateway),
         18 => Fault::Stop(gateway),
@@ -123,25 +123,25 @@
     }
 }
 
-fn door(random: &mut rngs::StdRng) -> door::Mode {
+fn door(random: &mut rngs::StdRng) -> listener::Mode {
     match random.random_range(0..4) {
-        0 => door::Mode::Busy,
-        1 => door::Mode::Many,
-        2 => door::Mode::Silent,
-        _ => door::Mode::LosesWrites,
+        0 => listener::Mode::Busy,
+        1 => listener::Mode::Many,
+        2 => listener::Mode::Silent,
+        _ => listener::Mode::LosesWrites,
     }
 }
 
-fn manner(turn: usize, random: &mut rngs::StdRng) -> upstream::Manner {
+fn manner(turn: usize, random: &mut rngs::StdRng) -> upstream::Behavior {
     match turn % MANNERS {
-        0 => upstream::Manner::Slow(Duration::from_millis(random.random_range(50..1_500))),
-        1 => upstream::Manner::Full,
-        2 => upstream::Manner::UnprovedRefusal,
-        3 => upstream::Manner::Lost,
-        4 => upstream::Manner::Cut,
-        5 => upstream::Manner::Surplus,
-        6 => upstream::Manner::Crossed,
-        7 => upstream::Manner::Garbage,
-        _ => upstream::Manner::Unframed,
+        0 => upstream::Behavior::Slow(Duration::from_millis(random.random_range(50..1_500))),
+        1 => upstream::Behavior::Full,
+        2 => upstream::Behavior::UnprovedRefusal,
+        3 => upstream::Behavior::Lost,
+        4 => upstream::Behavior::Cut,
+        5 => upstream::Behavior::Surplus,
+        6 => upstream::Behavior::Crossed,
+        7 => upstream::Behavior::Garbage,
+        _ => upstream::Behavior::Unframed,
     }
 }
--- a/crates/node/tests/soak/world.rs
+++ b/crates/node/tests/soak/world.rs
@@ -5,7 +5,7 @@
 
 use platform::fact;
 use rand::{RngExt as _, SeedableRng as _, rngs};
-use standin::platform::{door, upstream};
+use standin::platform::{listener, upstream};
 use tokio::time::Instant;
 
 use crate::callers;
@@ -61,7 +61,7 @@
 struct Node {
     name: String,
     hall: &'static str,
-    door: sync::Arc<door::Door>,
+    door: sync::Arc<listener::Listener>,
     store: link::Link,
     process: Option<rig::Gateway>,
     /// Versions of the configuration that each of its processes logged.
@@ -150,7 +150,7 @@
     async fn add_upstream(&mut self, service: &'static str, hall: &'static str, index: usize) {
         let id = format!("{service}-{hall}-{index}");
         let standin = upstream::Upstream::start(&id).await.expect("an upstream starts");
-        standin.set(upstream::Manner::Slow(WORK));
+        standin.set(upstream::Behavior::Slow(WORK));
         let link = link::Link::start(standin.address).await;
         self.upstreams.push(Upstream { standin, link, service, hall, state: "ready" });
         self.enter(self.upstreams.len() - 1);
@@ -228,10 +228,10 @@
         match fault {
             Fault::StoreLink(node, _) => self.nodes[node].store.set(link::Mode::Open),
             Fault::UpstreamLink(upstream, _) => self.upstreams[upstream].link.set(link::Mode::Open),
-            Fault::Door(node, _) => self.nodes[node].door.set(door::Mode::Open),
+            Fault::Door(node, _) => self.nodes[node].door.set(listener::Mode::Open),
             Fault::StoreAway(_) => self.return_store().await,
             Fault::Manner(upstream, _) => {
-                self.upstreams[upstream].standin.set(upstream::Manner::Slow(WORK));
+                self.upstreams[upstream].standin.set(upstream::Behavior::Slow(WORK));
             }
             Fault::Pause(node) => self.signal(node, rustix::process::Signal::CONT),
             Fault::Kill(node) | Fault::Stop(node) => self.start_process(node).await,
@@ -242,14 +242,14 @@
         }
     }
 
-    fn set_doors(&self, mode: door::Mode) {
+    fn set_doors(&self, mode: listener::Mode) {
         self.nodes.iter().for_each(|node| node.door.set(mode));
     }
 
     /// Lets the store come back without the entries, which lapsed, and upstreams write them again.
     async fn return_store(&self) {
         self.rig.store.remove_all(fact::UPSTREAMS);
-        self.set_doors(door::Mode::Open);
+        self.set_doors(listener::Mode::Open);
         let half = self.upstreams.len() / 2;
         for part in [0..half, half..self.upstreams.len()] {
             tokio::time::sleep(ENTRIES_RETURN / 2).await;
@@ -307,7 +307,7 @@
 
     /// Ends every fault; a hall stays evacuated and an upstream leaving.
     async fn heal(&mut self) {
-        self.set_doors(door::Mode::Open);
+        self.set_doors(listener::Mode::Open);
         for node in 0..self.nodes.len() {
             self.nodes[node].store.set(link::Mode::Open);
             self.signal(node, rustix::process::Signal::CONT);
@@ -317,7 +317,7 @@
         }
         for upstream in 0..self.upstreams.len() {
             self.upstreams[upstream].link.set(link::Mode::Open);
-            self.upstreams[upstream].standin.set(upstream::Manner::Slow(WORK));
+            self.upstreams[upstream].standin.set(upstream::Behavior::Slow(WORK));
             self.set_state(upstream, "ready");
         }
         self.start_all().await;
@@ -365,7 +365,7 @@
     /// Stops a gateway as planned while callers use their connections to it.
     async fn stop_one(&mut self) {
         for upstream in &self.upstreams {
-            upstream.standin.set(upstream::Manner::Slow(LONG_WORK));
+            upstream.standin.set(upstream::Behavior::Slow(LONG_WORK));
         }
         tokio::time::sleep(LONG_WORK).await;
         self.stop(0);
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,6 @@
 //! A plain HTTP client that can send from a chosen address of this machine.
+//!
+//! It owns its connections; it relies on no other module.
 
 use std::net;
 use std::time::Duration;
@@ -10,7 +12,7 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt;
 
-/// Time to make a connection.
+/// Time to make a connection; not measured.
 const CONNECT_TIME: Duration = Duration::from_secs(1);
 
 /// A client with its own connections.
@@ -44,7 +46,7 @@
         Ok(Response::from_parts(head, body))
     }
 
-    /// Sends a request and returns the answer as it comes.
+    /// Sends a request and returns the answer as soon as its head is read.
     ///
     /// # Errors
     ///
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -1,4 +1,7 @@
 //! Faults that a stand-in shows on command.
+//!
+//! It owns whether there is an outage and how many answers are still to be lost; [`crate::store`]
+//! and [`crate::vms`] answer by it. It relies on no other module.
 
 use std::sync::atomic;
 
--- a/crates/standin/src/pattern.rs
+++ b/crates/standin/src/pattern.rs
@@ -1,4 +1,7 @@
-//! Answers whose every byte depends on their request, so that a crossed or short one shows.
+//! Answers whose every byte depends on their request, so that a crossed or short one is detected.
+//!
+//! It owns the pattern; [`crate::upstream`] answers with it and callers check it. It relies on no
+//! other module.
 
 /// Returns the body that answers the request called `id`.
 #[must_use]
--- a/crates/standin/src/platform/items.rs
+++ b/crates/standin/src/platform/items.rs
@@ -1,18 +1,21 @@
 //! What the store holds: items under one counter of revisions, their history, and leases.
+//!
+//! It owns the rules of writes, watches and leases; [`crate::platform::store`] serves it. It relies
+//! on the platform's form of an item, and the clock is passed in.
 
 use std::collections;
 use std::time::{Duration, Instant};
 
 use ::platform::store::item;
 
-/// An item, and the lease it goes with.
+/// An item, and the lease that it ends with.
 #[derive(Clone, Debug)]
 struct Stored {
     item: item::Item,
     lease: u64,
 }
 
-/// Why a write was not done.
+/// Why a write was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refused {
     /// A condition does not hold; the items are as they stand.
@@ -102,8 +105,8 @@
         self.last_lease
     }
 
-    /// Renews a lease; returns its life, or none when it is over.
-    pub fn keep(&mut self, lease: u64, now: Instant) -> Option<Duration> {
+    /// Renews a lease; returns its duration, or none when it has ended.
+    pub fn renew(&mut self, lease: u64, now: Instant) -> Option<Duration> {
         let (time, ends) = self.leases.get_mut(&lease)?;
         *ends = now + *time;
         Some(*time)
@@ -123,7 +126,7 @@
         existed
     }
 
-    /// Ends the leases whose time is up.
+    /// Ends the leases that have expired.
     pub fn expire(&mut self, now: Instant) {
         let over = self.leases.iter().filter(|(_, (_, ends))| *ends <= now);
         let over: Vec<u64> = over.map(|(lease, _)| *lease).collect();
--- a/crates/standin/src/platform/door.rs
+++ b/crates/standin/src/platform/listener.rs
@@ -1,10 +1,13 @@
-//! Doors: addresses of one store, each with its own faults, so that some nodes can be turned away
-//! while others are served.
+//! Listeners of one store, each with its own faults, so that some nodes are refused while others are
+//! served.
+//!
+//! It owns the mode and the count of calls of one listener; [`crate::platform::store`] opens them
+//! and answers by their mode. It relies on no other module.
 
 use std::net;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 
-/// How a door treats calls.
+/// How a listener answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mode {
@@ -14,32 +17,32 @@
     Busy = 1,
     /// It answers 429, and does nothing.
     Many = 2,
-    /// It says nothing, and does nothing.
+    /// It does not answer, and does nothing.
     Silent = 3,
-    /// It does what it is asked, and does not answer writes.
+    /// It does what is asked, and does not answer writes.
     LosesWrites = 4,
 }
 
-/// One address of the store.
+/// One listener of the store.
 #[derive(Debug)]
-pub struct Door {
+pub struct Listener {
     /// Where it listens.
     pub address: net::SocketAddr,
     mode: AtomicU8,
     calls: AtomicU64,
 }
 
-impl Door {
+impl Listener {
     pub(crate) fn new(address: net::SocketAddr) -> Self {
         Self { address, mode: AtomicU8::new(Mode::Open as u8), calls: AtomicU64::new(0) }
     }
 
-    /// Treats calls in this way from now on; watches that wait are not touched.
+    /// Sets how calls are answered from now on; watches that wait are not touched.
     pub fn set(&self, mode: Mode) {
         self.mode.store(mode as u8, Ordering::Release);
     }
 
-    /// Returns how calls are treated.
+    /// Returns how calls are answered.
     #[must_use]
     pub fn mode(&self) -> Mode {
         match self.mode.load(Ordering::Acquire) {
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,8 @@
-//! The platform's metadata store over HTTP, with doors that can fail.
+//! The platform's metadata store over HTTP, with listeners that can fail.
+//!
+//! It owns the running servers and the clock of leases; the rules are those of
+//! [`crate::platform::items`], the faults those of [`crate::platform::listener`]. It relies on the
+//! platform's adapter for paths and forms.
 
 use std::collections;
 use std::io;
@@ -14,17 +18,17 @@
 use axum::routing;
 use tokio::sync::watch;
 
-use crate::platform::door;
 use crate::platform::items;
+use crate::platform::listener;
 use crate::server;
 
-/// Longest time a watch waits.
+/// Longest time a watch waits; not measured.
 const LONGEST_WAIT: Duration = Duration::from_secs(30);
 
-/// Time between two looks at leases.
-const LEASE_LOOK: Duration = Duration::from_millis(50);
+/// Time between two checks for expired leases; not measured.
+const LEASE_CHECK: Duration = Duration::from_millis(50);
 
-/// Time for which a silent door holds a call.
+/// Time for which a silent listener holds a call, past any timeout of a caller; not measured.
 const SILENCE: Duration = Duration::from_secs(60);
 
 /// A running store.
@@ -40,17 +44,17 @@
     revision: watch::Sender<u64>,
 }
 
-/// A door, with what stands behind it.
+/// What a handler needs: the store, and the listener that was called.
 #[derive(Clone, Debug)]
-struct Behind {
+struct Context {
     shared: sync::Arc<Shared>,
-    door: sync::Arc<door::Door>,
+    listener: sync::Arc<listener::Listener>,
 }
 
 type Queries = Query<collections::HashMap<String, String>>;
 
 impl Store {
-    /// Starts an empty store without doors, inside a runtime.
+    /// Starts an empty store without listeners, inside a runtime.
     #[must_use]
     pub fn start() -> Self {
         let (revision, _) = watch::channel(0);
@@ -59,47 +63,54 @@
         Self { shared, servers: sync::Mutex::default() }
     }
 
-    /// Opens a door on a free port.
+    /// Opens a listener on a free port.
     ///
     /// # Errors
     ///
     /// Fails when no address can be listened on.
-    pub async fn open(&self) -> io::Result<sync::Arc<door::Door>> {
-        let listener = tokio::net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0)).await?;
-        let door = sync::Arc::new(door::Door::new(listener.local_addr()?));
-        let behind =
-            Behind { shared: sync::Arc::clone(&self.shared), door: sync::Arc::clone(&door) };
+    pub async fn open(&self) -> io::Result<sync::Arc<listener::Listener>> {
+        let socket = tokio::net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0)).await?;
+        let listener = sync::Arc::new(listener::Listener::new(socket.local_addr()?));
+        let context = Context {
+            shared: sync::Arc::clone(&self.shared),
+            listener: sync::Arc::clone(&listener),
+        };
         let router = axum::Router::new()
             .route(paths::RANGE, routing::get(range))
             .route(paths::WATCH, routing::get(watch_changes))
             .route(paths::WRITE, routing::post(write))
             .route(paths::LEASE, routing::post(grant))
-            .route(&format!("{}/{{lease}}", paths::KEEP), routing::post(keep))
+            .route(&format!("{}/{{lease}}", paths::KEEP), routing::post(renew))
             .route(&format!("{}/{{lease}}", paths::END_LEASE), routing::delete(end))
-            .with_state(behind);
+            .with_state(context);
         let refused = sync::Arc::default();
-        let server = server::Server::serve(listener, router, server::MANY, refused)?;
+        let server = server::Server::serve(socket, router, server::MANY, refused)?;
         lock(&self.servers).push(server);
-        Ok(door)
+        Ok(listener)
     }
 
     /// Writes a value as the operator or an upstream does; returns the revision.
     pub fn put(&self, key: &str, value: &[u8]) -> u64 {
         let put = item::Put { key: key.to_owned(), value: value.to_vec(), lease: 0 };
         let write = item::Write { put: vec![put], ..item::Write::default() };
-        self.shared.change(|items| items.write(&write).unwrap_or_default())
+        self.write(&write)
     }
 
     /// Removes a key; returns the revision.
     pub fn remove(&self, key: &str) -> u64 {
         let write = item::Write { remove: vec![key.to_owned()], ..item::Write::default() };
-        self.shared.change(|items| items.write(&write).unwrap_or_default())
+        self.write(&write)
     }
 
-    /// Removes all keys of a prefix in one change, as when leases lapse together.
+    /// Removes all keys of a prefix in one change, as when leases expire together.
     pub fn remove_all(&self, prefix: &str) -> u64 {
         let write = item::Write { remove: self.keys(prefix), ..item::Write::default() };
-        self.shared.change(|items| items.write(&write).unwrap_or_default())
+        self.write(&write)
+    }
+
+    fn write(&self, write: &item::Write) -> u64 {
+        let written = self.shared.change(|items| items.write(write));
+        written.expect("a write without conditions and leases is not refused")
     }
 
     /// Forgets the history so far, so that watches from before fail.
@@ -124,24 +135,24 @@
     }
 }
 
-impl Behind {
-    /// Returns the answer of a door that does not serve, if it does not.
-    async fn turned_away(&self) -> Option<Response> {
-        self.door.count();
-        match self.door.mode() {
-            door::Mode::Open | door::Mode::LosesWrites => None,
-            door::Mode::Busy => Some(StatusCode::SERVICE_UNAVAILABLE.into_response()),
-            door::Mode::Many => Some(StatusCode::TOO_MANY_REQUESTS.into_response()),
-            door::Mode::Silent => {
+impl Context {
+    /// Returns the answer of a listener whose mode refuses the call.
+    async fn refusal(&self) -> Option<Response> {
+        self.listener.count();
+        match self.listener.mode() {
+            listener::Mode::Open | listener::Mode::LosesWrites => None,
+            listener::Mode::Busy => Some(StatusCode::SERVICE_UNAVAILABLE.into_response()),
+            listener::Mode::Many => Some(StatusCode::TOO_MANY_REQUESTS.into_response()),
+            listener::Mode::Silent => {
                 tokio::time::sleep(SILENCE).await;
                 Some(StatusCode::SERVICE_UNAVAILABLE.into_response())
             }
         }
     }
 
-    /// Keeps silent about a write that was done, if the door loses them.
-    async fn written(&self, response: Response) -> Response {
-        if self.door.mode() == door::Mode::LosesWrites {
+    /// Answers a write that was done, late if the listener loses the answers of writes.
+    async fn answer_write(&self, response: Response) -> Response {
+        if self.listener.mode() == listener::Mode::LosesWrites {
             tokio::time::sleep(SILENCE).await;
         }
         response
@@ -150,35 +161,36 @@
 
 async fn expire(shared: sync::Weak<Shared>) {
     loop {
-        tokio::time::sleep(LEASE_LOOK).await;
+        tokio::time::sleep(LEASE_CHECK).await;
         let Some(shared) = shared.upgrade() else { return };
         shared.change(|items| items.expire(Instant::now()));
     }
 }
 
-async fn range(State(behind): State<Behind>, Query(query): Queries) -> Response {
-    if let Some(response) = behind.turned_away().await {
+async fn range(State(context): State<Context>, Query(query): Queries) -> Response {
+    if let Some(response) = context.refusal().await {
         return response;
     }
-    let items = lock(&behind.shared.items);
+    let items = lock(&context.shared.items);
     let prefix = query.get("path_prefix").map_or("", String::as_str);
     let page = item::Page { items: items.range(prefix), more: false, at: items.revision() };
     Json(page).into_response()
 }
 
-async fn watch_changes(State(behind): State<Behind>, Query(query): Queries) -> Response {
-    if let Some(response) = behind.turned_away().await {
+async fn watch_changes(State(context): State<Context>, Query(query): Queries) -> Response {
+    if let Some(response) = context.refusal().await {
         return response;
     }
     let prefix = query.get("path_prefix").map_or("", String::as_str);
+    // An absent or malformed number is 0: no history before it, and no wait.
     let number = |name: &str| query.get(name).and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
     let after = number("after");
     let wait = Duration::from_millis(number("wait_ms")).min(LONGEST_WAIT);
     let until = tokio::time::Instant::now() + wait;
-    let mut revisions = behind.shared.revision.subscribe();
+    let mut revisions = context.shared.revision.subscribe();
     loop {
         let (changes, at) = {
-            let items = lock(&behind.shared.items);
+            let items = lock(&context.shared.items);
             (items.changes(prefix, after), items.revision())
         };
         let Some(events) = changes else { return StatusCode::GONE.into_response() };
@@ -186,15 +198,16 @@
         if !events.is_empty() || is_over {
             return Json(item::Events { events, at }).into_response();
         }
+        // A change and the end of the wait are distinguished at the loop's start.
         let _ = tokio::time::timeout_at(until, revisions.changed()).await;
     }
 }
 
-async fn write(State(behind): State<Behind>, Json(write): Json<item::Write>) -> Response {
-    if let Some(response) = behind.turned_away().await {
+async fn write(State(context): State<Context>, Json(write): Json<item::Write>) -> Response {
+    if let Some(response) = context.refusal().await {
         return response;
     }
-    let written = behind.shared.change(|items| items.write(&write));
+    let written = context.shared.change(|items| items.write(&write));
     let response = match written {
         Ok(revision) => Json(serde_json::json!({ "revision": revision })).into_response(),
         Err(items::Refused::Conflict(items)) => {
@@ -203,33 +216,33 @@
         }
         Err(items::Refused::NoLease) => StatusCode::NOT_FOUND.into_response(),
     };
-    behind.written(response).await
+    context.answer_write(response).await
 }
 
-async fn grant(State(behind): State<Behind>, Json(wanted): Json<lease::Wanted>) -> Response {
-    if let Some(response) = behind.turned_away().await {
+async fn grant(State(context): State<Context>, Json(wanted): Json<lease::Wanted>) -> Response {
+    if let Some(response) = context.refusal().await {
         return response;
     }
-    let lease = behind.shared.change(|items| items.lease(wanted.time, Instant::now()));
+    let lease = context.shared.change(|items| items.lease(wanted.time, Instant::now()));
     let granted = lease::Granted { lease, time: wanted.time };
-    behind.written(Json(granted).into_response()).await
+    context.answer_write(Json(granted).into_response()).await
 }
 
-async fn keep(State(behind): State<Behind>, Path(lease): Path<u64>) -> Response {
-    if let Some(response) = behind.turned_away().await {
+async fn renew(State(context): State<Context>, Path(lease): Path<u64>) -> Response {
+    if let Some(response) = context.refusal().await {
         return response;
     }
-    match behind.shared.change(|items| items.keep(lease, Instant::now())) {
+    match context.shared.change(|items| items.renew(lease, Instant::now())) {
         Some(time) => Json(lease::Wanted { time }).into_response(),
         None => StatusCode::NOT_FOUND.into_response(),
     }
 }
 
-async fn end(State(behind): State<Behind>, Path(lease): Path<u64>) -> Response {
-    if let Some(response) = behind.turned_away().await {
+async fn end(State(context): State<Context>, Path(lease): Path<u64>) -> Response {
+    if let Some(response) = context.refusal().await {
         return response;
     }
-    match behind.shared.change(|items| items.end_lease(lease)) {
+    match context.shared.change(|items| items.end_lease(lease)) {
         true => StatusCode::OK.into_response(),
         false => StatusCode::NOT_FOUND.into_response(),
     }
--- a/crates/standin/src/platform/upstream.rs
+++ b/crates/standin/src/platform/upstream.rs
@@ -1,4 +1,7 @@
 //! An upstream as it behaves on the platform, byte by byte, so that it can misbehave.
+//!
+//! It owns its behavior and the record of what it ran; it relies on the platform's headers. It
+//! writes its own HTTP/1.1, since a server library would not send malformed responses.
 
 use std::collections;
 use std::fmt::Write as _;
@@ -11,36 +14,36 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Largest head that is read, in bytes.
+/// Largest head that is read, in bytes; not measured.
 const LARGEST_HEAD: usize = 32 * 1_024;
 
-/// Most headers of a head.
+/// Most headers of a head; not measured.
 const MOST_HEADERS: usize = 64;
 
 /// How an upstream answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    /// Soundly.
+pub enum Behavior {
+    /// It runs the request, and answers correctly.
     Sound,
-    /// Soundly, after this time.
+    /// The same, after this time.
     Slow(Duration),
-    /// It turns requests away without running them.
+    /// It refuses requests without running them.
     Full,
-    /// It runs the request, and then answers 503 without a word on whether it ran.
+    /// It runs the request, and then answers 503 without a header on whether it ran.
     UnprovedRefusal,
     /// It runs the request, and closes without an answer.
     Lost,
-    /// It runs the request, and breaks off in the middle of the answer.
+    /// It runs the request, and closes in the middle of the answer.
     Cut,
-    /// It answers soundly, and then once more, as a faulty upstream may.
+    /// It answers correctly, and then once more, as a faulty upstream may.
     Surplus,
     /// It answers for another request.
     Crossed,
     /// It answers with bytes that are no answer.
     Garbage,
-    /// It answers without a length, and closes in good order.
+    /// It answers without a length, and closes after the body.
     Unframed,
-    /// It says that it is another upstream.
+    /// It answers that it is another upstream.
     Replaced,
 }
 
@@ -58,11 +61,11 @@
 #[derive(Debug)]
 struct Shared {
     id: String,
-    manner: sync::Mutex<Manner>,
+    behavior: sync::Mutex<Behavior>,
     record: sync::Mutex<Record>,
 }
 
-/// The record of truth: what an upstream did.
+/// What an upstream did.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     /// How often each request ran, by its name.
@@ -98,16 +101,16 @@
         let address = listener.local_addr()?;
         let shared = sync::Arc::new(Shared {
             id: id.to_owned(),
-            manner: sync::Mutex::new(Manner::Sound),
+            behavior: sync::Mutex::new(Behavior::Sound),
             record: sync::Mutex::default(),
         });
         let task = tokio::spawn(accept(listener, sync::Arc::clone(&shared)));
         Ok(Self { id: id.to_owned(), address, shared, task })
     }
 
-    /// Answers in this manner from now on.
-    pub fn set(&self, manner: Manner) {
-        *lock(&self.shared.manner) = manner;
+    /// Sets how it answers from now on.
+    pub fn set(&self, behavior: Behavior) {
+        *lock(&self.shared.behavior) = behavior;
     }
 
     /// Returns what it did so far.
@@ -125,9 +128,11 @@
 async fn accept(listener: TcpListener, shared: sync::Arc<Shared>) {
     let mut connections = tokio::task::JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
+        // Without it answers are only slower.
         let _ = stream.set_nodelay(true);
         let shared = sync::Arc::clone(&shared);
         connections.spawn(async move {
+            // A connection that fails ends; what ran on it is in the record.
             let _ = serve(stream, &shared).await;
         });
     }
@@ -136,9 +141,9 @@
 async fn serve(mut stream: TcpStream, shared: &Shared) -> io::Result<()> {
     let mut buffer = Vec::new();
     while let Some(request) = read(&mut stream, &mut buffer).await? {
-        let manner = *lock(&shared.manner);
-        note(shared, &request, manner);
-        if let Manner::Slow(time) = manner {
+        let behavior = *lock(&shared.behavior);
+        note(shared, &request, behavior);
+        if let Behavior::Slow(time) = behavior {
             let mut probe = [0; 1];
             tokio::select! {
                 () = tokio::time::sleep(time) => {}
@@ -148,7 +153,7 @@
                 }
             }
         }
-        let (bytes, is_last) = answer(shared, &request, manner);
+        let (bytes, is_last) = answer(shared, &request, behavior);
         stream.write_all(&bytes).await?;
         if is_last {
             return stream.shutdown().await;
@@ -157,13 +162,13 @@
     Ok(())
 }
 
-fn note(shared: &Shared, request: &Request, manner: Manner) {
+fn note(shared: &Shared, request: &Request, behavior: Behavior) {
     let mut record = lock(&shared.record);
     record.arrivals += 1;
-    let is_mine = request.target == shared.id && manner != Manner::Replaced;
-    match (is_mine, manner) {
+    let is_mine = request.target == shared.id && behavior != Behavior::Replaced;
+    match (is_mine, behavior) {
         (false, _) => record.misdirected += 1,
-        (true, Manner::Full) => {}
+        (true, Behavior::Full) => {}
         (true, _) => {
             *record.ran.entry(request.id.clone()).or_default() += 1;
             record.bodies.insert(request.id.clone(), request.body.clone());
@@ -173,37 +178,38 @@
 }
 
 /// Returns the bytes of an answer, and whether the connection ends after them.
-fn answer(shared: &Shared, request: &Request, manner: Manner) -> (Vec<u8>, bool) {
+fn answer(shared: &Shared, request: &Request, behavior: Behavior) -> (Vec<u8>, bool) {
     let id = request.id.as_str();
     let whole = format!("answer of {} to {id}", shared.id);
-    if request.target != shared.id || manner == Manner::Replaced {
+    if request.target != shared.id || behavior == Behavior::Replaced {
         let other = format!("{}: other\r\n", headers::INSTANCE_ID);
         return (plain(421, id, &other, ""), false);
     }
     let seal = format!("{}: seal-{id}\r\n{}: 1,0,4\r\n", headers::SEAL, headers::LOAD);
     let sound = plain(200, id, &seal, &whole);
-    match manner {
-        Manner::Sound | Manner::Slow(_) => (sound, false),
-        Manner::Full => {
+    match behavior {
+        Behavior::Sound | Behavior::Slow(_) => (sound, false),
+        Behavior::Full => {
             let extra = format!("{}: 1\r\n", headers::NOT_EXECUTED);
             (plain(503, id, &extra, ""), false)
         }
-        Manner::UnprovedRefusal => (plain(503, id, "", "no"), false),
-        Manner::Lost => (Vec::new(), true),
-        Manner::Cut => (sound[..sound.len() - whole.len() / 2].to_vec(), true),
-        Manner::Surplus => ([sound, plain(200, "surplus", &seal, "surplus")].concat(), false),
-        Manner::Crossed => (plain(200, "another", &seal, &whole), false),
-        Manner::Garbage => (b"\x00\x01\x02 no answer\r\n\r\n".to_vec(), true),
-        Manner::Unframed => {
+        Behavior::UnprovedRefusal => (plain(503, id, "", "no"), false),
+        Behavior::Lost => (Vec::new(), true),
+        Behavior::Cut => (sound[..sound.len() - whole.len() / 2].to_vec(), true),
+        Behavior::Surplus => ([sound, plain(200, "surplus", &seal, "surplus")].concat(), false),
+        Behavior::Crossed => (plain(200, "another", &seal, &whole), false),
+        Behavior::Garbage => (b"\x00\x01\x02 no answer\r\n\r\n".to_vec(), true),
+        Behavior::Unframed => {
             let head = format!("HTTP/1.1 200 OK\r\n{}: {id}\r\n{seal}\r\n", headers::REQUEST_ID);
             ([head.into_bytes(), whole.into_bytes()].concat(), true)
         }
-        Manner::Replaced => (Vec::new(), true),
+        Behavior::Replaced => (Vec::new(), true),
     }
 }
 
 fn plain(status: u16, id: &str, extra: &str, body: &str) -> Vec<u8> {
     let mut text = format!("HTTP/1.1 {status} X\r\n{}: {id}\r\n{extra}", headers::REQUEST_ID);
+    // Writing into a string does not fail.
     let _ = write!(text, "content-length: {}\r\n\r\n{body}", body.len());
     text.into_bytes()
 }
--- a/crates/standin/src/truth.rs
+++ b/crates/standin/src/record.rs
@@ -1,17 +1,20 @@
-//! The record of truth: what really ran at the upstreams.
+//! What ran at the upstreams: the reference that callers' results are compared with.
+//!
+//! It owns the runs by request id, the requests in flight and the arrivals; [`crate::upstream`]
+//! records into it, tests and the demo read it. It relies on no other module.
 
 use std::collections;
 use std::sync;
 use std::time::{Duration, Instant};
 
-/// What all upstreams of a test record.
+/// What all upstreams of a test recorded.
 #[derive(Debug, Default)]
-pub struct Truth {
-    record: sync::Mutex<Record>,
+pub struct Record {
+    state: sync::Mutex<State>,
 }
 
 #[derive(Debug, Default)]
-struct Record {
+struct State {
     runs: collections::HashMap<String, u32>,
     most_in_flight: collections::BTreeMap<String, (u32, u32)>,
     over_slots: u64,
@@ -26,7 +29,7 @@
     pub at: Instant,
     /// The service.
     pub service: String,
-    /// The caller's place, by the caller's own word.
+    /// The caller's place, as its request names it.
     pub place: String,
     /// The region.
     pub region: String,
@@ -36,23 +39,23 @@
     pub upstream: String,
 }
 
-impl Truth {
-    /// Notes that the request called `id` began to run, with `in_flight` now of `slots`.
+impl Record {
+    /// Records that the request called `id` began to run, with `in_flight` now of `slots`.
     pub fn began(&self, id: &str, arrival: Arrival, in_flight: u32, slots: u32) {
-        let mut record = self.lock();
+        let mut state = self.lock();
         if !id.is_empty() {
-            *record.runs.entry(id.to_owned()).or_insert(0) += 1;
+            *state.runs.entry(id.to_owned()).or_insert(0) += 1;
         }
         let name = format!("{}/{}", arrival.service, arrival.upstream);
-        let most = record.most_in_flight.entry(name).or_insert((0, slots));
+        let most = state.most_in_flight.entry(name).or_insert((0, slots));
         most.0 = most.0.max(in_flight);
         if in_flight > slots {
-            record.over_slots += 1;
+            state.over_slots += 1;
         }
-        record.arrivals.push(arrival);
+        state.arrivals.push(arrival);
     }
 
-    /// Notes a request that was refused because its deadline had passed.
+    /// Records a request that was refused because its deadline had passed.
     pub fn late(&self) {
         self.lock().late += 1;
     }
@@ -72,17 +75,17 @@
     /// Returns the greatest part of its slots that any upstream had in use.
     #[must_use]
     pub fn greatest_use(&self) -> f64 {
-        let record = self.lock();
-        let used = record.most_in_flight.values();
+        let state = self.lock();
+        let used = state.most_in_flight.values();
         used.map(|(most, slots)| f64::from(*most) / f64::from(*slots)).fold(0.0, f64::max)
     }
 
     /// Returns the requests that began after `since`.
     #[must_use]
     pub fn arrivals_since(&self, since: Instant) -> Vec<Arrival> {
-        let record = self.lock();
-        let first = record.arrivals.partition_point(|a| a.at < since);
-        record.arrivals[first..].to_vec()
+        let state = self.lock();
+        let first = state.arrivals.partition_point(|a| a.at < since);
+        state.arrivals[first..].to_vec()
     }
 
     /// Returns the last arrival that `matches`.
@@ -94,7 +97,7 @@
     /// Returns the greatest shift of one place's requests for a service, between any two spans of
     /// length `span` whose starts lie at most `window` apart, with the least count in a span.
     ///
-    /// Spans with fewer than `least` requests say too little and are passed over.
+    /// Spans with fewer than `least` requests are too few to count shares in and are skipped.
     #[must_use]
     pub fn greatest_shift(
         &self,
@@ -113,8 +116,8 @@
         shifts.max_by(|a, b| a.share.total_cmp(&b.share)).unwrap_or_default()
     }
 
-    fn lock(&self) -> sync::MutexGuard<'_, Record> {
-        self.record.lock().unwrap_or_else(sync::PoisonError::into_inner)
+    fn lock(&self) -> sync::MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 }
 
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,8 +1,9 @@
-//! Serving a router on an address until told to stop, to a limited number of connections.
+//! Serving a router on an address until it is stopped, to a limited number of connections.
+//!
+//! It owns the socket and the limit of its connections; it relies on no other module.
 
 use std::io;
 use std::net;
-
 use std::pin::Pin;
 use std::sync;
 use std::sync::atomic;
@@ -53,10 +54,12 @@
         let listener = Limited { inner, permits: sync::Arc::new(Semaphore::new(most)), refused };
         let (stop, mut stopped) = watch::channel(false);
         let ended = async move {
+            // An error means that the server was dropped, which stops it as well.
             let _ = stopped.wait_for(|stop| *stop).await;
         };
         let service = router.into_make_service();
         tokio::spawn(async move {
+            // It never fails: errors of one connection end that connection.
             let _ = axum::serve(listener, service).with_graceful_shutdown(ended).await;
         });
         Ok(Self { address, stop })
@@ -64,13 +67,15 @@
 
     /// Stops accepting; requests that run are finished.
     pub fn stop(&self) {
+        // An error means that the server has ended already.
         let _ = self.stop.send(true);
     }
 }
 
-/// Connections that a stand-in without a limit of its own accepts.
+/// Connections that a stand-in without a limit of its own accepts; not measured.
 pub const MANY: usize = 65_536;
 
+/// A listener that closes connections beyond its permits.
 struct Limited {
     inner: TcpListener,
     permits: sync::Arc<Semaphore>,
@@ -84,6 +89,7 @@
     async fn accept(&mut self) -> (Connection, net::SocketAddr) {
         loop {
             let (stream, peer) = Listener::accept(&mut self.inner).await;
+            // Without it answers are only slower.
             let _ = stream.set_nodelay(true);
             match sync::Arc::clone(&self.permits).try_acquire_owned() {
                 Ok(permit) => return (Connection { stream, _permit: permit }, peer),
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -5,9 +5,12 @@
 //! | `GET /kv/KEY` | the value, its revision in `x-revision`; 404 when there is none |
 //! | `GET /kv/KEY?after=R&wait_ms=N` | waits for a revision past `R`; 304 when none came |
 //! | `PUT /kv/KEY?expect=R` | writes if the revision is `R` (0: no value); 409 otherwise |
-//! | `PUT /kv/KEY?expect=R&lease=L` | the same; the value goes when the lease ends |
+//! | `PUT /kv/KEY?expect=R&lease=L` | the same; the value is removed when the lease ends |
 //! | `POST /leases?ttl_ms=N` | a new lease; its id is the body |
 //! | `POST /leases/L?ttl_ms=N` | renews a lease; 404 when it has ended |
+//!
+//! Nodes that own upstreams use it. It owns the values, the leases and the counters of calls; it
+//! relies on [`crate::control`] for its faults.
 
 use std::collections;
 use std::io;
@@ -25,10 +28,10 @@
 use crate::control;
 use crate::server;
 
-/// Largest value, in bytes.
+/// Largest value, in bytes; not measured.
 pub const LARGEST_VALUE: usize = 1 << 20;
 
-/// Longest time a watch waits.
+/// Longest time a watch waits; not measured.
 const LONGEST_WAIT: Duration = Duration::from_secs(60);
 
 const REVISION: HeaderName = HeaderName::from_static("x-revision");
@@ -53,7 +56,7 @@
     pub waits: u64,
     /// Writes that took effect.
     pub puts: u64,
-    /// Writes that lost the race.
+    /// Writes refused because the revision had changed.
     pub conflicts: u64,
     /// Lease calls.
     pub leases: u64,
@@ -143,8 +146,8 @@
         self.data.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Counts a call, and returns its answer if the store is out.
-    fn enter(&self) -> Option<Answer> {
+    /// Returns the answer to a call in an outage, and counts it.
+    fn refusal(&self) -> Option<Answer> {
         match self.faults.is_out() {
             true => {
                 self.data().counters.refused += 1;
@@ -171,7 +174,7 @@
     Path(key): Path<String>,
     Query(query): Query<GetQuery>,
 ) -> Answer {
-    if let Some(answer) = inner.enter() {
+    if let Some(answer) = inner.refusal() {
         return answer;
     }
     let Some(after) = query.after else {
@@ -206,7 +209,7 @@
     Query(query): Query<PutQuery>,
     body: bytes::Bytes,
 ) -> Answer {
-    if let Some(answer) = inner.enter() {
+    if let Some(answer) = inner.refusal() {
         return answer;
     }
     let answer = write(&inner, &key, &query, body);
@@ -237,7 +240,7 @@
 }
 
 async fn grant(State(inner): State<sync::Arc<Inner>>, Query(query): Query<LeaseQuery>) -> Answer {
-    if let Some(answer) = inner.enter() {
+    if let Some(answer) = inner.refusal() {
         return answer;
     }
     let mut data = inner.data();
@@ -253,7 +256,7 @@
     Path(id): Path<u64>,
     Query(query): Query<LeaseQuery>,
 ) -> Answer {
-    if let Some(answer) = inner.enter() {
+    if let Some(answer) = inner.refusal() {
         return answer;
     }
     let mut data = inner.data();
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -3,6 +3,8 @@
 //! `GET /report` answers its own view of its load. Every other request runs: it takes the time that
 //! the header `x-work-ms` asks for, or the upstream's usual time, and is answered with
 //! [`crate::pattern::body`] of its `x-request-id`, as long as `x-answer-bytes` asks for.
+//!
+//! It owns its slots and its reports, and writes what ran into a [`record::Record`].
 
 use std::io;
 use std::net;
@@ -18,19 +20,19 @@
 use serde::Serialize;
 
 use crate::pattern;
+use crate::record;
 use crate::server;
-use crate::truth;
 
 /// Status by which it proves that it did not run a request.
 pub const SHED: StatusCode = StatusCode::TOO_MANY_REQUESTS;
 
-/// Requests after which a cold cache has warmed by two thirds.
+/// Requests after which a cold cache has warmed by two thirds; not measured.
 const WARMING: f64 = 60.0;
 
-/// How late it notices that a deadline has passed.
+/// How late it detects that a deadline has passed; not measured.
 const NOTICE: Duration = Duration::from_millis(100);
 
-/// Longest answer a request may ask for.
+/// Longest answer a request may ask for, in bytes; not measured.
 const LONGEST_ANSWER: usize = 64 << 20;
 
 /// What one upstream is like.
@@ -70,7 +72,7 @@
 #[derive(Debug)]
 struct Inner {
     spec: Spec,
-    truth: sync::Arc<truth::Truth>,
+    record: sync::Arc<record::Record>,
     in_flight: atomic::AtomicU32,
     served: atomic::AtomicU32,
     is_draining: atomic::AtomicBool,
@@ -87,7 +89,7 @@
 }
 
 impl Upstream {
-    /// Starts an upstream that records into `truth`.
+    /// Starts an upstream that records into `record`.
     ///
     /// # Errors
     ///
@@ -95,13 +97,13 @@
     pub async fn start(
         address: net::SocketAddr,
         spec: Spec,
-        truth: sync::Arc<truth::Truth>,
+        record: sync::Arc<record::Record>,
     ) -> io::Result<Self> {
         let now = Instant::now();
         let first = Report { slots: spec.slots, ..Report::default() };
         let state = sync::Arc::new(Inner {
             spec,
-            truth,
+            record,
             in_flight: atomic::AtomicU32::new(0),
             served: atomic::AtomicU32::new(0),
             is_draining: atomic::AtomicBool::new(false),
@@ -120,7 +122,7 @@
         Ok(Self { address: server.address, refused, state, server })
     }
 
-    /// Says in its reports that it leaves.
+    /// Reports from now on that it is draining.
     pub fn drain(&self) {
         self.state.is_draining.store(true, atomic::Ordering::SeqCst);
     }
@@ -181,13 +183,13 @@
     if let Some(left) = deadline(headers)
         && left.is_none()
     {
-        state.truth.late();
+        state.record.late();
         return (SHED, "the deadline has passed").into_response();
     }
     let id = text(headers, "x-request-id");
     let slot = Slot(sync::Arc::clone(&state));
     let in_flight = state.in_flight.fetch_add(1, atomic::Ordering::SeqCst) + 1;
-    let arrival = truth::Arrival {
+    let arrival = record::Arrival {
         at: Instant::now(),
         service: state.spec.service.clone(),
         place: text(headers, "x-place").to_owned(),
@@ -195,7 +197,7 @@
         hall: state.spec.hall.clone(),
         upstream: state.spec.name.clone(),
     };
-    state.truth.began(id, arrival, in_flight, state.spec.slots);
+    state.record.began(id, arrival, in_flight, state.spec.slots);
     let len = number(headers, "x-answer-bytes").unwrap_or(64);
     let len = usize::try_from(len).unwrap_or(LONGEST_ANSWER).min(LONGEST_ANSWER);
     let Ok(received) = axum::body::to_bytes(body, usize::MAX).await else {
--- a/crates/standin/src/vms.rs
+++ b/crates/standin/src/vms.rs
@@ -1,4 +1,6 @@
-//! A list of VMs that lags behind the truth, over HTTP as `GET /vms`.
+//! A list of VMs that lags behind them, over HTTP as `GET /vms`.
+//!
+//! It owns the list and its lag; it relies on [`crate::control`] for its outages.
 
 use std::collections;
 use std::io;
