--- a/crates/steer/src/dispatch/retry.rs
+++ b/crates/steer/src/dispatch/retry.rs
@@ -237,7 +237,7 @@
                 let is_ready = self.is_repeatable && is_body_ready;
                 self.retry(is_ready, take_retry, give_up::Reason::MayHaveRun)
             }
-            Outcome::NotSent(_) => self.after_unreachable(),
+            Outcome::NotSent(_) => self.after_unreachable(is_body_ready),
         };
         self.record(End::Outcome(outcome));
         next
@@ -258,9 +258,12 @@
     }
 
     /// A failed connection sends nothing, so it costs neither an attempt nor a retry of the budget.
-    fn after_unreachable(&mut self) -> Next {
+    ///
+    /// A body that was handed to the connection and cannot be sent again ends the request: the next
+    /// upstream would get it empty.
+    fn after_unreachable(&mut self, is_body_ready: bool) -> Next {
         self.unreachable += 1;
-        match self.unreachable >= MAX_UNREACHABLE {
+        match self.unreachable >= MAX_UNREACHABLE || !is_body_ready {
             true => Next::GiveUp(self.reason(give_up::Reason::Unreachable)),
             false => Next::TryAnother,
         }
--- a/crates/steer/tests/retry.rs
+++ b/crates/steer/tests/retry.rs
@@ -162,3 +162,16 @@
     assert_eq!(progress.expire(), give_up::Reason::TimedOut);
     assert_eq!(ends(&progress), ["reset", "no-connection"]);
 }
+
+#[test]
+fn a_body_that_cannot_be_sent_again_is_not_sent_empty_to_another_upstream() {
+    let now = Instant::now();
+    let route = route(route::Kind::Upload, 3);
+    let mut dispatcher = dispatcher(3, now);
+    let mut progress = retry::Progress::new(&route);
+    send(&mut progress, &mut dispatcher, &route, now).expect("an upstream is chosen");
+    let not_sent = retry::Outcome::NotSent("connection closed".to_owned());
+    let next = progress.end(not_sent, false, no_budget);
+    assert_eq!(next, retry::Next::GiveUp(give_up::Reason::Unreachable));
+    assert!(give_up::Reason::Unreachable.is_proved_not_run());
+}
