--- a/crates/model/src/check/mod.rs
+++ b/crates/model/src/check/mod.rs
@@ -1,7 +1,7 @@
 //! Rules that an accepted configuration keeps, within a resource and across resources.
 //!
 //! A file for each kind of resource. Every rule that does not hold is collected in
-//! [`findings::Findings`], so that an operator sees all problems of a change at once.
+//! `findings`, so that an operator sees all problems of a change at once.
 
 mod cap;
 mod drain;
--- a/crates/node/src/gateway/datagram.rs
+++ b/crates/node/src/gateway/datagram.rs
@@ -1,6 +1,6 @@
 //! Heartbeats between [`member::Member`] and their form on the wire.
 //!
-//! Owns the conversion only; [`heartbeat`](wire::gateway::heartbeat) has the message.
+//! Owns the conversion only; [`heartbeat`] has the message.
 
 use model::id;
 use prost::Message as _;
--- a/crates/steer/src/dispatch/give_up.rs
+++ b/crates/steer/src/dispatch/give_up.rs
@@ -14,7 +14,7 @@
 
 /// `Retry-After` when nothing is known about when a retry would succeed.
 ///
-/// Not measured; longer than [`RETRY_AFTER_REFUSALS`], since no upstream has refused yet.
+/// Not measured; longer than `RETRY_AFTER_REFUSALS`, since no upstream has refused yet.
 pub const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(200);
 
 /// Why a request is given up.
--- a/crates/steer/src/ownership/budget.rs
+++ b/crates/steer/src/ownership/budget.rs
@@ -18,7 +18,7 @@
 }
 
 impl Budget {
-    /// Makes a budget that starts with [`INITIAL`] second tries.
+    /// Makes a budget that starts with `INITIAL` second tries.
     #[must_use]
     pub fn new() -> Self {
         Self { tokens: INITIAL }
--- a/crates/steer/src/ownership/core/mod.rs
+++ b/crates/steer/src/ownership/core/mod.rs
@@ -4,8 +4,8 @@
 //! work as an [`owner`] of upstreams and as an entry ([`router`]). Performs no input or output and
 //! reads no clock: an event and a time go in, actions come out.
 //!
-//! [`adoption`] applies configurations and tables, [`exchange`] makes and answers heartbeats,
-//! [`upkeep`] does what is done with every heartbeat.
+//! `adoption` applies configurations and tables, `exchange` makes and answers heartbeats,
+//! `upkeep` does what is done with every heartbeat.
 
 mod adoption;
 mod exchange;
--- a/crates/steer/src/ownership/members.rs
+++ b/crates/steer/src/ownership/members.rs
@@ -220,7 +220,7 @@
             && seen.is_some_and(|at| now.saturating_duration_since(*at) >= LOST_AFTER)
     }
 
-    /// Forgets nodes that were silent for [`FORGET_AFTER`] and are not listed elsewhere.
+    /// Forgets nodes that were silent for `FORGET_AFTER` and are not listed elsewhere.
     pub fn forget(&mut self, now: Instant) {
         let is_recent = |k: &Known| now.saturating_duration_since(k.last_seen) < FORGET_AFTER;
         self.known
--- a/crates/steer/src/ownership/owner/mod.rs
+++ b/crates/steer/src/ownership/owner/mod.rs
@@ -8,8 +8,8 @@
 //! [`lease`](crate::ownership::lease) for those that other nodes grant it. Driven by
 //! [`Core`](crate::ownership::core::Core).
 //!
-//! A request meets [`admission`], then [`queueing`], then [`completion`]; [`configuration`],
-//! [`leasing`] and [`reporting`] stand beside its way.
+//! A request meets `admission`, then `queueing`, then `completion`; `configuration`,
+//! `leasing` and `reporting` stand beside its way.
 
 mod admission;
 mod completion;
--- a/crates/steer/src/ownership/router/mod.rs
+++ b/crates/steer/src/ownership/router/mod.rs
@@ -4,7 +4,7 @@
 //! reported of their slots. Relies on [`owners`] for who owns what, on [`retry`] for second tries and
 //! on [`planner`](crate::ownership::planner) for the splits' targets.
 //!
-//! [`selection`] chooses the owner of one request, [`planning`] moves the splits.
+//! `selection` chooses the owner of one request, `planning` moves the splits.
 
 mod planning;
 mod selection;
--- a/crates/steer/src/ownership/summaries.rs
+++ b/crates/steer/src/ownership/summaries.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Sums up this node's own region, once in every [`SUM_PERIOD`].
+    /// Sums up this node's own region, once in every `SUM_PERIOD`.
     ///
     /// Every node of the region does so. The results are ordered as by Lamport's clock: each takes
     /// the number after the greatest it knows, so that a sum without an owner that died is
