--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -1,4 +1,8 @@
 //! What a request costs through nodes, against the same request sent to the upstream itself.
+//!
+//! It stays because it measures nodes that own upstreams, one hop and a look-up; the users' bench
+//! measures the price of a request through a gateway. It owns the two nodes and the requests; it
+//! relies on the stand-ins for the store, the upstream and the client.
 
 use std::net;
 use std::sync;
@@ -20,18 +24,27 @@
 
 use crate::output;
 
-/// Requests of each kind.
+/// Requests of each kind; not measured.
 const REQUESTS: usize = 4_000;
 
-/// Requests before anything is measured.
+/// Requests before anything is measured; not measured.
 const WARM_UP: usize = 400;
 
-/// Time that the upstream works on a request, in milliseconds.
-const WORK_MS: u32 = 0;
+/// Time that the upstream works on a request: none, so that the figures are the nodes' own.
+const WORK: Duration = Duration::ZERO;
 
-/// Longest wait for the nodes to be ready.
+/// Slots of the upstream; more than the one request in flight.
+const SLOTS: u32 = 6;
+
+/// Connections of the upstream; more than both nodes open.
+const CONNECTIONS: u32 = 100;
+
+/// Longest wait for the nodes to be ready; not measured.
 const START_TIME: Duration = Duration::from_secs(20);
 
+/// Time between two checks that the nodes are ready; not measured.
+const CHECK_EVERY: Duration = Duration::from_millis(50);
+
 const HOST: &str = "cost.example";
 const TOKEN: &str = "cost";
 
@@ -47,25 +60,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Way {
     Direct,
-    Home,
+    Owner,
     Hop,
     Lookup,
 }
 
 impl Way {
-    const ALL: [Self; 4] = [Self::Direct, Self::Home, Self::Hop, Self::Lookup];
+    const ALL: [Self; 4] = [Self::Direct, Self::Owner, Self::Hop, Self::Lookup];
 
     fn name(self) -> &'static str {
         match self {
             Self::Direct => "upstream itself",
-            Self::Home => "through its home",
+            Self::Owner => "through its home",
             Self::Hop => "through another node",
             Self::Lookup => "look-up",
         }
     }
 }
 
-/// Measures.
+/// Measures requests of every way through two nodes.
 ///
 /// # Errors
 ///
@@ -87,20 +100,20 @@
     wait(&nodes, false).await?;
     declare(&nodes[0], started.address).await?;
     wait(&nodes, true).await?;
-    let mut is_home = Vec::new();
+    let mut is_owner = Vec::new();
     for node in &nodes {
         let leads = node.handle().look(|state| {
             let me = &state.core.me.key;
             let mut upstreams = state.core.owner.upstreams.values();
             upstreams.any(|u| u.ledger.allotment.owner() == Some(me))
         });
-        is_home.push(leads.await == Some(true));
+        is_owner.push(leads.await == Some(true));
     }
-    let home = usize::from(!is_home[0]);
+    let owner = usize::from(!is_owner[0]);
     let addresses = Addresses {
         upstream: started.address,
-        home: nodes[home].listen.callers,
-        other: nodes[1 - home].listen.callers,
+        owner: nodes[owner].listen.callers,
+        other: nodes[1 - owner].listen.callers,
     };
     let result = ask_all(&addresses).await?;
     for node in nodes {
@@ -109,9 +122,10 @@
     Ok(result)
 }
 
+/// Where each way's requests are sent.
 struct Addresses {
     upstream: net::SocketAddr,
-    home: net::SocketAddr,
+    owner: net::SocketAddr,
     other: net::SocketAddr,
 }
 
@@ -132,6 +146,16 @@
             }
         }
     }
+    Ok(output::Output {
+        name: "cost",
+        text: TEXT.to_owned(),
+        tables: vec![table(&times)],
+        plots: Vec::new(),
+    })
+}
+
+/// Returns the table of the times in nanoseconds, one histogram for each way in order.
+fn table(times: &[Histogram<u64>]) -> output::Table {
     let direct = &times[0];
     let row = |(way, histogram): (Way, &Histogram<u64>)| {
         let at = |h: &Histogram<u64>, quantile: f64| {
@@ -147,17 +171,11 @@
         ]
     };
     let columns = ["way", "p50 µs", "p99 µs", "p50 / direct", "p99 / direct"];
-    let table = output::Table {
+    output::Table {
         title: "Time of a request".to_owned(),
         columns: columns.map(str::to_owned).to_vec(),
-        rows: Way::ALL.into_iter().zip(&times).map(row).collect(),
-    };
-    Ok(output::Output {
-        name: "cost",
-        text: TEXT.to_owned(),
-        tables: vec![table],
-        plots: Vec::new(),
-    })
+        rows: Way::ALL.into_iter().zip(times).map(row).collect(),
+    }
 }
 
 async fn ask(
@@ -167,9 +185,9 @@
 ) -> anyhow::Result<Response<Bytes>> {
     let (address, path) = match way {
         Way::Direct => (addresses.upstream, "/search"),
-        Way::Home => (addresses.home, "/search"),
+        Way::Owner => (addresses.owner, "/search"),
         Way::Hop => (addresses.other, "/search"),
-        Way::Lookup => (addresses.home, "/yokespoke/v1/lookup?service=cost"),
+        Way::Lookup => (addresses.owner, "/yokespoke/v1/lookup?service=cost"),
     };
     let request = Request::get(format!("http://{address}{path}"))
         .header("host", HOST)
@@ -184,9 +202,9 @@
         name: "cost-1".to_owned(),
         region: "here".to_owned(),
         hall: "here-1".to_owned(),
-        slots: 6,
-        connections: 100,
-        time: Duration::from_millis(u64::from(WORK_MS)),
+        slots: SLOTS,
+        connections: CONNECTIONS,
+        time: WORK,
         cold_factor: 1.0,
         report_lag: Duration::from_millis(500),
     }
@@ -218,8 +236,8 @@
         region: id::Region::new("here"),
         hall: id::Hall::new("here-1"),
         address,
-        slots: 6,
-        connections: 100,
+        slots: SLOTS,
+        connections: CONNECTIONS,
     };
     let service = service::Service {
         name: id::Service::new("cost"),
@@ -243,7 +261,7 @@
     Ok(())
 }
 
-/// Waits until both nodes are listed, and, once declared, until the home has all slots.
+/// Waits until both nodes list both, and, once declared, until the owner has all slots.
 async fn wait(nodes: &[node::owner::node::Node; 2], is_declared: bool) -> anyhow::Result<()> {
     let began = Instant::now();
     loop {
@@ -258,14 +276,15 @@
                 let slots: u32 = led.map(|u| u.ledger.capacity(state.now)).sum();
                 (table.map_or(0, |t| t.listed.len()), slots, core.is_ready(state.now))
             });
-            let (nodes, usable, is_ready) = looked.await.unwrap_or_default();
-            listed += nodes;
+            // A node that does not answer counts as not ready, and the wait goes on.
+            let (known, usable, is_ready) = looked.await.unwrap_or_default();
+            listed += known;
             slots += if is_ready { usable } else { 0 };
         }
-        if listed == 4 && (!is_declared || slots == 6) {
+        if listed == nodes.len() * nodes.len() && (!is_declared || slots == SLOTS) {
             return Ok(());
         }
         anyhow::ensure!(began.elapsed() < START_TIME, "the nodes are not ready");
-        tokio::time::sleep(Duration::from_millis(50)).await;
+        tokio::time::sleep(CHECK_EVERY).await;
     }
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,5 +1,8 @@
-//! `yokespoke-bench`: measures decisions, costs and growth; its tables and plots are committed in
-//! `docs/measurements/`.
+//! `yokespoke-bench`: measures nodes that own upstreams; its pages are in `docs/measurements/`.
+//!
+//! The users' bench measures gateways only: what a request costs through one, and how a fleet of them
+//! grows. It has no nodes that own upstreams, so [`cost`] and [`scale`] measure those here. This file
+//! owns the arguments; it relies on [`output`] for the forms of a result.
 
 mod cost;
 mod output;
--- a/crates/bench/src/output.rs
+++ b/crates/bench/src/output.rs
@@ -1,4 +1,8 @@
 //! Tables and plots of a measurement.
+//!
+//! It stays because both measurements of this package are written by it, and nothing else writes
+//! the pages of `docs/measurements/`. It owns the three forms of a result and the fit of a line; it
+//! relies on no other module.
 
 use std::fs;
 use std::path;
@@ -12,7 +16,7 @@
 pub struct Output {
     /// Name of its files.
     pub name: &'static str,
-    /// Heading and words before the tables.
+    /// Heading and text before the tables.
     pub text: String,
     /// Tables.
     pub tables: Vec<Table>,
@@ -31,7 +35,7 @@
     pub rows: Vec<Vec<String>>,
 }
 
-/// A plot of lines over a logarithmic or straight axis.
+/// A plot of lines over linear axes that begin at zero.
 #[derive(Debug)]
 pub struct Plot {
     /// Name of its file.
--- a/crates/bench/src/scale/blocks.rs
+++ b/crates/bench/src/scale/blocks.rs
@@ -1,4 +1,8 @@
 //! Client blocks: memory and time of the table that finds a caller's place.
+//!
+//! It stays because only nodes that own upstreams find a caller's place by its address: the users'
+//! bench, which measures gateways, has no such table. It owns the blocks that it measures with; it
+//! relies on [`model::blocks`].
 
 use std::net;
 use std::time::{Duration, Instant};
@@ -15,10 +19,10 @@
 /// Numbers of blocks: up to the target.
 const SIZES: [u32; 4] = [55_000, 110_000, 220_000, 440_000];
 
-/// Places that the blocks belong to.
+/// Places that the blocks belong to; those of the target.
 const PLACES: u32 = 53;
 
-/// Look-ups that are timed.
+/// Look-ups that are timed; not measured.
 const LOOKUPS: u32 = 1_000_000;
 
 /// Measures.
--- a/crates/bench/src/scale/fleet.rs
+++ b/crates/bench/src/scale/fleet.rs
@@ -1,4 +1,8 @@
 //! A whole fleet of cores in one process, without requests.
+//!
+//! It stays because it measures the heartbeats and decisions of nodes that own upstreams, which the
+//! users' bench does not run. It owns the cores, their tables and the virtual clock; it relies on the
+//! decision package, and on the wire's encoding for the size of a message.
 
 use std::net;
 use std::sync;
@@ -34,14 +38,14 @@
 const SITES: usize = 53;
 const SERVICES: usize = 3;
 
-/// Time in which a fleet finds itself, and time that is measured.
+/// Time for the nodes to know each other, and time that is measured; both not measured.
 const WARM_UP: Duration = Duration::from_secs(15);
 const MEASURED: Duration = Duration::from_secs(10);
 
-/// Time between two ticks; coarser than the process's, since no request waits here.
+/// Time between two ticks; longer than the process's, since no request waits here; not measured.
 const TICK: Duration = Duration::from_millis(100);
 
-/// What one node needs.
+/// What one node needs, on average over the fleet.
 #[derive(Debug)]
 pub struct Measured {
     /// Regions of the fleet.
@@ -50,9 +54,9 @@
     pub messages_per_second: f64,
     /// Their bytes.
     pub bytes_per_second: f64,
-    /// Time of its decisions.
+    /// Time of its decisions, as a share of one core.
     pub share_of_core: f64,
-    /// Memory.
+    /// Memory, in megabytes.
     pub resident_mb: f64,
     /// Nodes that the first node knows to be alive.
     pub alive: usize,
@@ -68,7 +72,7 @@
     messages: usize,
 }
 
-/// Measures a fleet of `size` nodes.
+/// Measures a fleet of `size` nodes by a virtual clock.
 ///
 /// # Errors
 ///
@@ -119,8 +123,8 @@
         for node in 0..size {
             let snapshot = sync::Arc::clone(&snapshot);
             let table = sync::Arc::clone(&fleet.tables[node % regions]);
-            fleet.tell(node, event::Event::Configure { snapshot });
-            fleet.tell(node, event::Event::Adopt { table, is_stored: true });
+            fleet.deliver(node, event::Event::Configure { snapshot });
+            fleet.deliver(node, event::Event::Adopt { table, is_stored: true });
         }
         fleet
     }
@@ -132,13 +136,13 @@
             self.wall += TICK;
             for node in 0..self.cores.len() {
                 let wall = self.wall;
-                self.tell(node, event::Event::Tick { wall });
+                self.deliver(node, event::Event::Tick { wall });
             }
         }
     }
 
-    /// Hands an event to a node, and carries its heartbeats to their ends at once.
-    fn tell(&mut self, node: usize, event: event::Event) -> Option<Box<heartbeat::Reply>> {
+    /// Handles an event at a node, and delivers the heartbeats that it sends at once.
+    fn deliver(&mut self, node: usize, event: event::Event) -> Option<Box<heartbeat::Reply>> {
         let mut actions = Vec::new();
         self.cores[node].handle(event, self.now, &mut actions);
         let mut reply = None;
@@ -159,11 +163,11 @@
         let to = node_at(to);
         self.messages += 2;
         self.bytes += convert::request_out(heartbeat.clone()).encoded_len();
-        let reply = self.tell(to, event::Event::Heartbeat { heartbeat: Box::new(heartbeat) });
+        let reply = self.deliver(to, event::Event::Heartbeat { heartbeat: Box::new(heartbeat) });
         let reply = reply.expect("a heartbeat is answered");
         self.bytes += convert::reply_out((*reply).clone()).encoded_len();
         let sent = self.now;
-        self.tell(from, event::Event::Replied { reply, sent });
+        self.deliver(from, event::Event::Replied { reply, sent });
     }
 
     fn propose(&mut self, node: usize, table: sync::Arc<table::Table>) {
@@ -172,7 +176,7 @@
             *standing = table;
         }
         let table = sync::Arc::clone(standing);
-        self.tell(node, event::Event::Adopt { table, is_stored: true });
+        self.deliver(node, event::Event::Adopt { table, is_stored: true });
     }
 }
 
@@ -257,7 +261,7 @@
 }
 
 fn link(place: usize, to: usize, regions: usize) -> place::Link {
-    let near = place % regions == to;
-    let delay = Duration::from_millis(if near { 3 } else { 30 + to as u64 });
+    let is_near = place % regions == to;
+    let delay = Duration::from_millis(if is_near { 3 } else { 30 + to as u64 });
     place::Link { region: region(to), delay, limit: None }
 }
