--- a/crates/model/src/head.rs
+++ b/crates/model/src/head.rs
@@ -10,7 +10,7 @@
 /// What the head of a caller's request says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
-    /// Identifies the caller's try, so that its answer can be told from another's; empty when absent.
+    /// Identifies the caller's try, so that its answer is not taken for another's; empty when absent.
     pub id: &'a str,
     /// Time that the caller waits, counted from the request's arrival.
     pub wait: Option<Duration>,
--- a/crates/node/src/common/head.rs
+++ b/crates/node/src/common/head.rs
@@ -18,10 +18,10 @@
 /// Header of an answer that says why the request failed.
 pub const REASON: HeaderName = HeaderName::from_static("yokespoke-reason");
 
-/// Header that tells an upstream the deadline, in milliseconds since 1970 (UTC).
+/// Header that carries the deadline to an upstream, in milliseconds since 1970 (UTC).
 pub const DEADLINE: HeaderName = HeaderName::from_static("yokespoke-deadline");
 
-/// Header that tells an upstream the caller's address.
+/// Header that carries the caller's address to an upstream.
 const FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
 
 /// Headers that an owner removes as concerning one connection only (RFC 9110, section 7.6.1).
--- a/crates/node/src/gateway/own_headers.rs
+++ b/crates/node/src/gateway/own_headers.rs
@@ -24,7 +24,7 @@
 /// Headers by which a caller could pass itself off as a gateway or an upstream.
 static OURS: [HeaderName; 3] = [names::VERDICT, names::REASON, LOAD];
 
-/// Shortest time left that an upstream is told, in milliseconds, so that the deadline lies ahead.
+/// Shortest time left that is sent to an upstream, in milliseconds, so that the deadline lies ahead.
 const SHORTEST_LEFT_MILLIS: u64 = 1;
 
 /// Reads what a caller says.
--- a/crates/node/src/gateway/thread.rs
+++ b/crates/node/src/gateway/thread.rs
@@ -45,7 +45,7 @@
             let tasks = task::LocalSet::new();
             let is_done = tasks.block_on(&runtime, run(settings, started, ends));
             drop(tasks);
-            // Fails when the handle was dropped, so that nobody waits for the outcome.
+            // Fails when the handle was dropped, so that no caller waits for the outcome.
             let _ = done.send(is_done);
         })?;
         let listen = starts.await.map_err(io::Error::other)??;
@@ -75,7 +75,7 @@
     let gateway = match process::Gateway::start(settings).await {
         Ok(gateway) => gateway,
         Err(error) => {
-            // Fails when `start` was dropped, so that nobody waits for the gateway.
+            // Fails when `start` was dropped, so that no caller waits for the gateway.
             let _ = started.send(Err(error));
             return false;
         }
--- a/crates/steer/src/dispatch/fleet/lookup.rs
+++ b/crates/steer/src/dispatch/fleet/lookup.rs
@@ -1,4 +1,4 @@
-//! Look-up: which nodes a caller is told to use, and for how long.
+//! Look-up: which nodes a caller may use, and for how long.
 //!
 //! Owns nothing. Relies on the members for the nodes that serve, and on the nodes that the store lists where
 //! no living node of a route's home regions is known.
