--- a/crates/node/src/owner/peers/server.rs
+++ b/crates/node/src/owner/peers/server.rs
@@ -97,7 +97,7 @@
         request: Request<peer::BeatRequest>,
     ) -> Result<tonic::Response<peer::BeatReply>, Status> {
         let heartbeat = convert::request_in(request.into_inner())
-            .ok_or_else(|| Status::invalid_argument("the heartbeat is malformed"))?;
+            .ok_or_else(|| Status::invalid_argument("the beat is malformed"))?;
         let reply = self.handle.heartbeat(heartbeat).await;
         let reply = reply.ok_or_else(|| Status::resource_exhausted("the node is busy"))?;
         Ok(tonic::Response::new(convert::reply_out(reply)))
