--- a/crates/node/tests/gateway/rig.rs
+++ b/crates/node/tests/gateway/rig.rs
@@ -1,5 +1,8 @@
 //! Starts gateways, the store and upstreams.
 
+#[path = "program.rs"]
+mod program;
+
 use std::io::{BufRead as _, BufReader};
 use std::net;
 use std::path;
@@ -393,7 +396,7 @@
 }
 
 fn spawn(settings: path::PathBuf) -> Gateway {
-    let mut child = process::Command::new(env!("CARGO_BIN_EXE_yokespoked"))
+    let mut child = process::Command::new(program::next())
         .arg("--settings")
         .arg(&settings)
         .stdout(process::Stdio::piped())
--- a/crates/node/tests/process/rig.rs
+++ b/crates/node/tests/process/rig.rs
@@ -1,5 +1,8 @@
 //! A rig: stand-ins in this process, and nodes as processes of their own.
 
+#[path = "../gateway/program.rs"]
+mod program;
+
 use std::collections;
 use std::io::{BufRead as _, BufReader};
 use std::net;
@@ -318,7 +321,7 @@
 
 /// Starts a node and learns its addresses from its first line of log.
 fn spawn(settings: &std::path::Path) -> Process {
-    let mut child = process::Command::new(env!("CARGO_BIN_EXE_yokespoked"))
+    let mut child = process::Command::new(program::next())
         .arg("--settings")
         .arg(settings)
         .stdout(process::Stdio::piped())
