--- a/crates/steer/src/dispatch/quota/account.rs
+++ b/crates/steer/src/dispatch/quota/account.rs
@@ -1,6 +1,6 @@
-//! Account: what a node knows of one organisation, or upstream, with a limit.
+//! State that a node keeps for one organisation or upstream with a limit.
 //!
-//! Owns its rates and its bucket. Called by [`Quotas`](super::Quotas) alone.
+//! Used only by [`Quotas`](super::Quotas).
 
 use std::time::{Duration, Instant};
 
@@ -11,48 +11,49 @@
 use crate::dispatch::quota::rate;
 use crate::dispatch::quota::usage;
 
-/// One organisation, or upstream, with a limit.
+/// Rates and token bucket of one organisation or upstream with a limit.
 #[derive(Clone, Debug)]
 pub struct Account {
-    /// Its name.
+    /// Name of the organisation; empty for an upstream.
     pub name: String,
-    /// Its limit.
+    /// Rate limit and burst.
     pub quota: organisation::Quota,
-    /// Requests that it asks of this node.
+    /// Requests per second that reach this node.
     pub asked: rate::Rate,
-    /// Requests that this node admits.
+    /// Requests per second that this node admits.
     pub admitted: rate::Rate,
-    /// What this node admitted beyond its part.
+    /// Recent requests that this node admitted beyond its share.
     pub excess: excess::Excess,
-    /// What the fleet may still admit.
+    /// Requests that the fleet may still admit.
     pub bucket: bucket::Bucket,
 }
 
 impl Account {
-    /// Makes the account of an organisation that has asked nothing yet; `seed` differs between nodes and organisations. A
-    /// request loses most of its weight in what is asked in `memory`.
+    /// Creates an account without requests; `seed` differs between nodes and organisations, and the demand decays with
+    /// `time_constant`.
     #[must_use]
     pub fn new(
         name: String,
         quota: organisation::Quota,
         seed: u64,
-        memory: Duration,
+        time_constant: Duration,
         now: Instant,
     ) -> Self {
         Self {
             name,
             quota,
-            asked: rate::Rate::new(memory, now),
-            admitted: rate::Rate::new(usage::MEMORY, now),
+            asked: rate::Rate::new(time_constant, now),
+            admitted: rate::Rate::new(usage::TIME_CONSTANT, now),
             excess: excess::Excess::new(now),
             bucket: bucket::Bucket::new(seed, now),
         }
     }
 
-    /// Records admitted requests; takes them back where `requests` is negative.
-    pub fn admit(&mut self, requests: f64, fair: f64, now: Instant) {
+    /// Records admitted requests; a negative `requests` takes some back. `share` is this node's share of the limit in requests
+    /// per second.
+    pub fn admit(&mut self, requests: f64, share: f64, now: Instant) {
         self.bucket.take(requests);
         self.admitted.add(requests, now);
-        self.excess.add(requests, fair, now);
+        self.excess.add(requests, share, now);
     }
 }
--- a/crates/steer/src/dispatch/quota/forwarder.rs
+++ b/crates/steer/src/dispatch/quota/forwarder.rs
@@ -1,20 +1,20 @@
-//! Forwarder: what a node forwards of the reports of others, as one sum.
+//! Forwards the reports of several nodes as one sum.
 //!
-//! Owns what was forwarded last, and the rates of the sum. Those count what the nodes admitted as their reports tell it, so that
-//! a node that joins the sum or leaves it is not taken for requests that come or go.
+//! Keeps what was forwarded last, and the rates of the sum. These rates are computed from the number of requests that the reports
+//! account for, so that a node joining or leaving the sum does not look like requests that start or stop.
 
 use std::collections;
 use std::time::Instant;
 
 use model::id;
 
-use crate::dispatch::quota::pace;
 use crate::dispatch::quota::rate;
+use crate::dispatch::quota::report_timing;
 use crate::dispatch::quota::reporter;
 use crate::dispatch::quota::reports;
 use crate::dispatch::quota::usage::{self, Key, Usage};
 
-/// What was forwarded of some nodes.
+/// Forwards the summed reports of one group of nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Forwarder {
     reporter: reporter::Reporter,
@@ -22,26 +22,27 @@
 }
 
 impl Forwarder {
-    /// Returns what is to be forwarded now of what the `wanted` nodes reported; `limit` returns the limit of an organisation.
+    /// Returns the summed usages of the nodes selected by `is_included` that are due to be forwarded; `limit` returns the limit
+    /// of an organisation.
     pub fn report(
         &mut self,
         reports: &mut reports::Reports,
-        wanted: impl Fn(&id::Node) -> bool,
+        is_included: impl Fn(&id::Node) -> bool,
         limit: impl Fn(Key) -> f64,
-        pace: pace::Pace,
+        timing: report_timing::ReportTiming,
         now: Instant,
     ) -> Vec<Usage> {
-        let sums = reports.forward(wanted, now);
+        let sums = reports.forward(is_included, now);
         self.admitted.retain(|key, _| sums.iter().any(|(usage, _)| usage.key == *key));
         let mut due = Vec::new();
         for (mut usage, admitted) in sums {
-            let new = || rate::Rate::new(usage::MEMORY, now);
+            let new = || rate::Rate::new(usage::TIME_CONSTANT, now);
             let rate = self.admitted.entry(usage.key).or_insert_with(new);
             rate.add(admitted, now);
             usage.admitted = rate.get(now);
-            due.extend(self.reporter.report(usage, limit(usage.key), pace, now));
+            due.extend(self.reporter.report(usage, limit(usage.key), timing, now));
         }
-        self.reporter.expire(pace.fresh, now);
+        self.reporter.expire(timing.validity, now);
         due
     }
 }
--- a/crates/steer/src/dispatch/quota/mod.rs
+++ b/crates/steer/src/dispatch/quota/mod.rs
@@ -1,28 +1,28 @@
-//! Quota: how many requests of an organisation a node admits, so that the fleet stays within the organisation's limit.
+//! Fleet-wide rate limits of organisations: decides which requests each node admits, so that the fleet stays within the limits.
 //!
-//! The limit that an [upstream names](crate::dispatch::upstream_limit) is kept in the same way, by accounts of its own.
+//! The limits that [upstreams announce](crate::dispatch::upstream_limit) are enforced in the same way, with accounts of their own.
 //!
-//! Nodes share no counter. Each keeps a [`bucket`] of the whole fleet for each organisation: its own requests are taken from it
-//! at once, those of the others as they are reported with the loads ([`usage`]), which nodes do for organisations near their
-//! limits. Each node admits the same part of its requests, so that what is admitted together fits the limit and a debt is paid
-//! within a second, whichever nodes admitted it and wherever the callers are by now. An organisation whose requests together stay
-//! below its limit is not refused.
+//! Nodes share no counter. For each organisation, every node keeps a token [`bucket`] of the whole fleet. Its own requests are
+//! deducted at once, those of other nodes as they are reported with the load reports ([`usage`]); nodes report organisations that
+//! are near their limits. All nodes admit the same ratio of their requests, so that the total fits the limit and a debt is repaid
+//! within a second, whichever nodes admitted the requests and wherever the callers are by now. An organisation whose total demand
+//! stays below its limit is not refused.
 //!
-//! A node that is cut off keeps to the part of the limit that its [`part`] of all admitted requests makes, and the others leave
-//! that to it. One that has just started takes less than an equal part until it has reports of the others.
+//! An isolated node keeps to its [`share`] of the limit, which is its share of all admitted requests, and the other nodes leave
+//! that share to it. A node that has just started takes less than an equal share until it receives reports from others.
 //!
-//! Owns the accounts of the organisations that have a limit. Reads no clock; the present is passed in.
+//! Reads no clock; the current time is passed in.
 
 pub mod account;
 pub mod bucket;
-pub mod contact;
 pub mod excess;
 pub mod forwarder;
-pub mod pace;
-pub mod part;
 pub mod rate;
+pub mod reachability;
+pub mod report_timing;
 pub mod reporter;
 pub mod reports;
+pub mod share;
 pub mod usage;
 
 use std::collections;
@@ -36,275 +36,281 @@
 use usage::{Key, Usage};
 use xxhash_rust::xxh3;
 
-/// Time for which an organisation counts as near its limit after a node said so.
+/// Time for which an organisation counts as near its limit after a node found it there.
 ///
-/// Some times the memory of [`rate::Rate`], so that one that hovers there is reported all the while.
-const NEAR_TIME: Duration = Duration::from_secs(3);
+/// Several times [`usage::TIME_CONSTANT`], so that an organisation that stays around its limit is reported continuously.
+const NEAR_LIMIT_TIME: Duration = Duration::from_secs(3);
 
-/// Part of its share of a limit that a node is asked for from which it says that the organisation is near its limit.
+/// Fraction of its share of a limit from which a node reports the organisation as near its limit.
 ///
-/// Where no node says so, the fleet is asked for less than this part of the limit.
-const NEAR_PART: f64 = 0.75;
+/// As long as no node does so, the fleet's demand is below this fraction of the limit.
+const NEAR_LIMIT_DEMAND: f64 = 0.75;
 
-/// Excess from which a node says that the organisation is near its limit: one request is no sign of anything.
-const NEAR_EXCESS: f64 = 2.0;
+/// Excess from which a node reports an organisation as near its limit; a single request is not significant.
+const NEAR_LIMIT_EXCESS: f64 = 2.0;
 
-/// Part of the slack that a deployment grants which buckets hold; the rest is for what nodes know late.
-const SLACK_PART: f64 = 0.5;
+/// Fraction of the configured slack that is added to the buckets; the rest covers requests that nodes learn of late.
+const BUCKET_SLACK: f64 = 0.5;
 
-/// Time in which a request loses most of its weight in what is asked of an upstream: each node has few of them, and a rate that
-/// peaks with each would be taken for a higher one.
-const ASKED_MEMORY: Duration = Duration::from_secs(3);
+/// Time constant of the demand for an upstream. Each node has few such requests, and with a shorter one the peak after each
+/// request would be mistaken for a higher rate.
+const UPSTREAM_DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(3);
 
-/// Shortest and longest time after which a refused caller may come back. The longest is the window in which
-/// quotas are counted by default.
-const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
+/// Shortest and longest time after which a refused caller may retry. The longest is the default window in which quotas are
+/// counted.
+const RETRY_AFTER_RANGE: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(5));
 
-/// The accounts of all organisations that have a limit.
+/// Accounts of all organisations, or upstreams, with a limit.
 #[derive(Clone, Debug)]
 pub struct Quotas {
     accounts: collections::HashMap<Key, Account>,
-    /// Requests of organisations below their limits: one far above its own would make its nodes' parts larger.
-    all: rate::Rate,
+    /// Requests of organisations below their limits. Those of an organisation far above its limit would enlarge the shares of
+    /// the nodes that receive them.
+    total_demand: rate::Rate,
     reports: reports::Reports,
-    near: collections::BTreeMap<Key, Instant>,
+    /// When this node last found an organisation near its limit.
+    near_limit: collections::BTreeMap<Key, Instant>,
     reporter: reporter::Reporter,
-    contact: contact::Contact,
+    reachability: reachability::Reachability,
     slack: f64,
     seed: u64,
-    pace: pace::Pace,
+    timing: report_timing::ReportTiming,
 }
 
 impl Quotas {
-    /// Makes the accounts of `node`; `slack` is how many requests over its limit an organisation may have, over the
-    /// fleet.
+    /// Creates the accounts of `node`; `slack` is the number of requests by which an organisation may exceed its limit over the
+    /// whole fleet.
     #[must_use]
     pub fn new(node: &id::Node, slack: f64, now: Instant) -> Self {
         Self {
             accounts: collections::HashMap::new(),
-            all: rate::Rate::new(usage::MEMORY, now),
+            total_demand: rate::Rate::new(usage::TIME_CONSTANT, now),
             reports: reports::Reports::default(),
-            near: collections::BTreeMap::new(),
+            near_limit: collections::BTreeMap::new(),
             reporter: reporter::Reporter::default(),
-            contact: contact::Contact::default(),
+            reachability: reachability::Reachability::default(),
             slack,
             seed: xxh3::xxh3_64(node.as_str().as_bytes()),
-            pace: pace::Pace::default(),
+            timing: report_timing::ReportTiming::default(),
         }
     }
 
-    /// Takes over a configuration; an organisation whose limit changes keeps what is known of its requests.
+    /// Applies a configuration; an organisation whose limit changes keeps its rates and its bucket.
     pub fn configure(&mut self, routing: &routing::Routing, now: Instant) {
-        let mut before = std::mem::take(&mut self.accounts);
+        let mut previous = std::mem::take(&mut self.accounts);
         let organisations = routing.organisations.iter().flat_map(organisation::Index::iter);
         for organisation in organisations {
             let Some(quota) = organisation.quota else { continue };
             let key = Key::of(&organisation.name);
-            let account = match before.remove(&key) {
+            let account = match previous.remove(&key) {
                 Some(known) => Account { quota, ..known },
                 None => {
                     let seed = self.seed ^ u64::from(key.0);
-                    Account::new(organisation.name.to_string(), quota, seed, usage::MEMORY, now)
+                    let name = organisation.name.to_string();
+                    Account::new(name, quota, seed, usage::TIME_CONSTANT, now)
                 }
             };
             self.accounts.insert(key, account);
         }
-        self.near.retain(|key, _| self.accounts.contains_key(key));
+        self.near_limit.retain(|key, _| self.accounts.contains_key(key));
     }
 
-    /// Sets the limit of `key`, which no organisation has; what is known of its requests is kept.
-    pub fn limit(&mut self, key: Key, name: &str, quota: organisation::Quota, now: Instant) {
+    /// Sets the limit of an upstream with `key`; an existing account keeps its rates and its bucket.
+    pub fn set_limit(&mut self, key: Key, name: &str, quota: organisation::Quota, now: Instant) {
         let seed = self.seed ^ u64::from(key.0);
-        let new = || Account::new(name.to_owned(), quota, seed, ASKED_MEMORY, now);
+        let new = || Account::new(name.to_owned(), quota, seed, UPSTREAM_DEMAND_TIME_CONSTANT, now);
         self.accounts.entry(key).or_insert_with(new).quota = quota;
     }
 
-    /// Ends the limit of `key`.
-    pub fn lift(&mut self, key: Key) {
+    /// Removes the limit of `key`.
+    pub fn remove_limit(&mut self, key: Key) {
         self.accounts.remove(&key);
-        self.near.remove(&key);
+        self.near_limit.remove(&key);
     }
 
-    /// Returns the account of `key`; none without a limit.
+    /// Returns the account of `key`, or `None` if it has no limit.
     #[must_use]
     pub fn account(&self, key: Key) -> Option<&Account> {
         self.accounts.get(&key)
     }
 
-    /// Returns whether anything has a limit.
+    /// Returns whether any limit is set.
     #[must_use]
-    pub fn is_used(&self) -> bool {
+    pub fn has_limits(&self) -> bool {
         !self.accounts.is_empty()
     }
 
     /// Sets how many other nodes are known or listed.
     pub fn set_others(&mut self, others: usize) {
-        self.contact.set_others(others);
+        self.reachability.set_others(others);
     }
 
-    /// Sets how often usages are repeated, here and at the other nodes.
-    pub fn set_pace(&mut self, pace: pace::Pace) {
-        self.pace = pace;
-        self.reports.set_pace(pace);
+    /// Sets how often usages are repeated, by this node and by the others.
+    pub fn set_timing(&mut self, timing: report_timing::ReportTiming) {
+        self.timing = timing;
+        self.reports.set_timing(timing);
     }
 
-    /// Sets whether this node, or one that it reaches, reaches the store; one that does not is cut off itself.
+    /// Sets whether this node reaches the store, itself or through another node; if not, this node is the isolated one.
     pub fn set_store_known(&mut self, is_known: bool) {
-        self.contact.set_store_known(is_known);
+        self.reachability.set_store_reachable(is_known);
     }
 
-    /// Takes a request of an organisation.
+    /// Admits a request of an organisation.
     ///
     /// # Errors
     ///
-    /// Returns the time after which there is room when the organisation is over its limit.
+    /// Returns the time to wait before a retry if the organisation is over its limit.
     pub fn admit(&mut self, organisation: &id::Organisation, now: Instant) -> Result<(), Duration> {
-        if !self.is_used() {
+        if !self.has_limits() {
             return Ok(());
         }
         if self.take(Key::of(organisation), std::convert::identity, now)? >= 1.0 {
-            self.count(now);
+            self.count_request(now);
         }
         Ok(())
     }
 
-    /// Counts a request among those by which nodes work out their parts of the limits.
-    pub fn count(&mut self, now: Instant) {
-        if self.is_used() {
-            self.all.add(1.0, now);
+    /// Counts a request in the demand from which nodes derive their shares of the limits.
+    pub fn count_request(&mut self, now: Instant) {
+        if self.has_limits() {
+            self.total_demand.add(1.0, now);
         }
     }
 
-    /// Takes a request from the account of `key`; returns the part of the requests that is admitted, infinite without a limit.
+    /// Admits a request of the account of `key`; returns the admission ratio, which is infinite without a limit.
     ///
-    /// `adapt` makes of that part the one of requests like this one.
+    /// `adjust` converts the admission ratio of all requests into the one for requests like this one.
     ///
     /// # Errors
     ///
-    /// Returns the time after which there is room when the limit is used up.
+    /// Returns the time to wait before a retry if the limit is used up.
     pub fn take(
         &mut self,
         key: Key,
-        adapt: impl FnOnce(f64) -> f64,
+        adjust: impl FnOnce(f64) -> f64,
         now: Instant,
     ) -> Result<f64, Duration> {
-        let standing = self.standing(now);
-        let Some(limit) = self.advance(key, standing, now) else { return Ok(f64::INFINITY) };
-        let others = self.others(key, &standing);
+        let view = self.fleet_view(now);
+        let Some(limit) = self.refill(key, view, now) else { return Ok(f64::INFINITY) };
+        let others = self.reachable_usage(key, &view);
         let Some(account) = self.accounts.get_mut(&key) else { return Ok(f64::INFINITY) };
         account.asked.add(1.0, now);
         let own = account.asked.get(now);
-        let fair = limit * standing.own_part();
-        let part = adapt(account.bucket.part(limit, own + others.asked, standing.spare));
-        if !account.bucket.admits(part) {
-            let (shortest, longest) = RETRY_AFTER;
-            return Err(account.bucket.time_to_room(limit).clamp(shortest, longest));
+        let share = limit * view.own_share();
+        let ratio = adjust(account.bucket.admission_ratio(limit, own + others.demand, view.extra));
+        if !account.bucket.admits(ratio) {
+            let (shortest, longest) = RETRY_AFTER_RANGE;
+            return Err(account.bucket.time_until_available(limit).clamp(shortest, longest));
         }
-        account.admit(1.0, fair, now);
-        if own >= fair * NEAR_PART || account.excess.get(fair, now) >= NEAR_EXCESS {
-            self.near.insert(key, now);
+        account.admit(1.0, share, now);
+        let excess = account.excess.get(share, now);
+        if own >= share * NEAR_LIMIT_DEMAND || excess >= NEAR_LIMIT_EXCESS {
+            self.near_limit.insert(key, now);
         }
-        Ok(part)
+        Ok(ratio)
     }
 
-    /// Fills the bucket of an organisation up to `now`; returns the part of its limit of the nodes that reach each other.
-    fn advance(&mut self, key: Key, standing: part::Standing, now: Instant) -> Option<f64> {
-        let others = self.others(key, &standing).admitted;
+    /// Refills the bucket of an organisation up to `now`; returns the part of its limit that belongs to the reachable nodes.
+    fn refill(&mut self, key: Key, view: share::FleetView, now: Instant) -> Option<f64> {
+        let others = self.reachable_usage(key, &view).admitted;
         let account = self.accounts.get_mut(&key)?;
-        let part = standing.limit_part();
-        let limit = account.quota.rate * part;
-        let capacity = (account.quota.burst + self.slack * SLACK_PART) * part;
-        account.bucket.advance(limit, others, capacity, now);
+        let share = view.reachable_share();
+        let limit = account.quota.rate * share;
+        let capacity = (account.quota.burst + self.slack * BUCKET_SLACK) * share;
+        account.bucket.refill(limit, others, capacity, now);
         Some(limit)
     }
 
-    /// Gives back what [`Quotas::admit`] took for a request that was not sent after all.
+    /// Reverts [`Quotas::admit`] for a request that was not sent.
     pub fn give_back(&mut self, organisation: &id::Organisation, now: Instant) {
-        let standing = self.standing(now);
+        let view = self.fleet_view(now);
         if let Some(account) = self.accounts.get_mut(&Key::of(organisation)) {
-            let fair = account.quota.rate * standing.limit_part() * standing.own_part();
-            account.admit(-1.0, fair, now);
+            let share = account.quota.rate * view.reachable_share() * view.own_share();
+            account.admit(-1.0, share, now);
         }
     }
 
-    /// Returns what this node has to report to the others now; none of it is reported again before it changes or ages.
+    /// Returns the usages that this node is due to report to the others.
     pub fn report(&mut self, now: Instant) -> Vec<Usage> {
-        self.near.retain(|_, at| now.saturating_duration_since(*at) < NEAR_TIME);
+        self.near_limit.retain(|_, at| now.saturating_duration_since(*at) < NEAR_LIMIT_TIME);
         let mut usages = Vec::new();
-        if !self.is_used() {
+        if !self.has_limits() {
             return usages;
         }
-        let standing = self.standing(now);
-        let all = Usage { asked: self.all.get(now), ..Usage::none(Key::ALL) };
-        usages.extend(self.reporter.report(all, f64::INFINITY, self.pace, now));
-        let reached = self.reports.near(now, NEAR_TIME);
-        let keys: collections::BTreeSet<Key> = self.near.keys().copied().chain(reached).collect();
+        let view = self.fleet_view(now);
+        let total = Usage { asked: self.total_demand.get(now), ..Usage::none(Key::ALL) };
+        usages.extend(self.reporter.report(total, f64::INFINITY, self.timing, now));
+        let reported = self.reports.near_limit(now, NEAR_LIMIT_TIME);
+        let own = self.near_limit.keys().copied();
+        let keys: collections::BTreeSet<Key> = own.chain(reported).collect();
         for key in keys {
             let Some(account) = self.accounts.get(&key) else { continue };
-            let is_near = self.near.contains_key(&key);
+            let is_near = self.near_limit.contains_key(&key);
             let (asked, admitted) = (account.asked.get(now), account.admitted.get(now));
-            let fair = account.quota.rate * standing.limit_part() * standing.own_part();
-            let excess = account.excess.get(fair, now);
+            let share = account.quota.rate * view.reachable_share() * view.own_share();
+            let excess = account.excess.get(share, now);
             let debt = account.bucket.debt();
             let usage = Usage { key, asked, admitted, excess, debt, is_near };
-            usages.extend(self.reporter.report(usage, account.quota.rate, self.pace, now));
+            usages.extend(self.reporter.report(usage, account.quota.rate, self.timing, now));
         }
         usages
     }
 
-    /// Returns what the `wanted` nodes reported together, as far as `forwarder` has not forwarded it yet.
+    /// Returns the summed usages of the nodes selected by `is_included` that `forwarder` is due to forward.
     pub fn report_sum(
         &mut self,
-        wanted: impl Fn(&id::Node) -> bool,
+        is_included: impl Fn(&id::Node) -> bool,
         forwarder: &mut forwarder::Forwarder,
         now: Instant,
     ) -> Vec<Usage> {
         let accounts = &self.accounts;
         let limit = |key| accounts.get(&key).map_or(f64::INFINITY, |a| a.quota.rate);
-        forwarder.report(&mut self.reports, wanted, limit, self.pace, now)
+        forwarder.report(&mut self.reports, is_included, limit, self.timing, now)
     }
 
-    /// Records what another node reported.
+    /// Records the usages that another node reported.
     pub fn receive(&mut self, node: &id::Node, usages: &[Usage], now: Instant) {
-        self.contact.hear(now);
-        let standing = self.standing(now);
+        self.reachability.record_report(now);
+        let view = self.fleet_view(now);
         for usage in usages {
-            // Up to here the bucket filled by what was reported before.
-            self.advance(usage.key, standing, now);
-            let news = self.reports.record(node, *usage, now);
+            // Until now the bucket was refilled according to the previous reports.
+            self.refill(usage.key, view, now);
+            let effect = self.reports.record(node, *usage, now);
             let Some(account) = self.accounts.get_mut(&usage.key) else { continue };
-            match news {
-                reports::News::Surplus(requests) => account.bucket.take(requests),
-                reports::News::First => {
+            match effect {
+                reports::Effect::Surplus(requests) => account.bucket.take(requests),
+                reports::Effect::First => {
                     account.bucket.take(usage.excess);
-                    if self.contact.has_just_started(now) {
-                        account.bucket.owe(usage.debt);
+                    if self.reachability.has_just_started(now) {
+                        account.bucket.raise_debt(usage.debt);
                     }
                 }
             }
         }
     }
 
-    /// Drops reports that no longer count, and forgets what was reported before them.
+    /// Removes expired reports, both received and sent ones, and saves the fleet's current demand.
     pub fn tick(&mut self, now: Instant) {
         self.reports.expire(now);
-        self.reporter.expire(self.pace.fresh, now);
-        self.contact.remember(self.all.get(now), &self.reports, now);
+        self.reporter.expire(self.timing.validity, now);
+        self.reachability.save_demand(self.total_demand.get(now), &self.reports, now);
     }
 
-    /// Returns the organisations that are near their limits by what is asked of this node, for the dump.
+    /// Returns the names of the organisations that this node found near their limits, for the dump.
     pub fn near(&self) -> impl Iterator<Item = &str> {
-        let near = self.near.keys().filter_map(|key| self.accounts.get(key));
-        near.map(|account| account.name.as_str())
+        let near_limit = self.near_limit.keys().filter_map(|key| self.accounts.get(key));
+        near_limit.map(|account| account.name.as_str())
     }
 
-    fn standing(&self, now: Instant) -> part::Standing {
-        self.contact.standing(self.all.get(now), &self.reports, now)
+    fn fleet_view(&self, now: Instant) -> share::FleetView {
+        self.reachability.fleet_view(self.total_demand.get(now), &self.reports, now)
     }
 
-    /// Returns what is asked of the nodes that this one reaches, and what they admit.
-    fn others(&self, key: Key, standing: &part::Standing) -> reports::Sum {
-        match standing.reaches_others {
+    /// Returns the demand and the admitted requests at the other nodes that this one reaches.
+    fn reachable_usage(&self, key: Key, view: &share::FleetView) -> reports::Sum {
+        match view.reaches_others {
             true => self.reports.sum(key),
             false => reports::Sum::default(),
         }
--- a/crates/steer/src/dispatch/quota/rate.rs
+++ b/crates/steer/src/dispatch/quota/rate.rs
@@ -1,32 +1,32 @@
-//! Rate: how many requests came a second, lately.
+//! Exponentially decaying request rate.
 
 use std::time::{Duration, Instant};
 
-/// Requests a second, weighted to the latest: each fades with the memory.
+/// Requests per second, as an exponentially decaying average.
 #[derive(Clone, Copy, Debug)]
 pub struct Rate {
     rate: f64,
-    at: Instant,
-    memory: Duration,
+    updated_at: Instant,
+    time_constant: Duration,
 }
 
 impl Rate {
-    /// Starts at zero; what came `memory` ago has lost most of its weight.
+    /// Creates a rate of zero; the weight of a request falls to 1/e within `time_constant`.
     #[must_use]
-    pub fn new(memory: Duration, now: Instant) -> Self {
-        Self { rate: 0.0, at: now, memory }
+    pub fn new(time_constant: Duration, now: Instant) -> Self {
+        Self { rate: 0.0, updated_at: now, time_constant }
     }
 
-    /// Records requests; takes some back that were recorded lately where `requests` is negative.
+    /// Adds requests; a negative `requests` takes back some that were added recently.
     pub fn add(&mut self, requests: f64, now: Instant) {
-        self.rate = (self.get(now) + requests / self.memory.as_secs_f64()).max(0.0);
-        self.at = now;
+        self.rate = (self.get(now) + requests / self.time_constant.as_secs_f64()).max(0.0);
+        self.updated_at = now;
     }
 
-    /// Returns the requests a second.
+    /// Returns the requests per second.
     #[must_use]
     pub fn get(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.at).as_secs_f64();
-        self.rate * (-age / self.memory.as_secs_f64()).exp()
+        let elapsed = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.rate * (-elapsed / self.time_constant.as_secs_f64()).exp()
     }
 }
--- a/crates/steer/src/dispatch/quota/reports.rs
+++ b/crates/steer/src/dispatch/quota/reports.rs
@@ -1,234 +1,246 @@
-//! Reports: what other nodes reported of the organisations' requests.
+//! Usages that other nodes reported.
 //!
-//! Owns the latest usage of each node and organisation, and the sums over nodes, which each report changes by its difference.
-//! One that was not reported again counts no more after some [periods](pace::Pace); of the requests of all organisations it is remembered for
-//! some seconds more, since a node that fell silent may go on.
+//! Keeps the latest usage by node and organisation, and the sums over nodes, which are updated with each report. A usage that is
+//! not reported again becomes invalid after a [time](report_timing::ReportTiming). The demand of all organisations at a node is
+//! kept for some seconds more, since a node that became unreachable may still admit requests.
 
 use std::collections;
 use std::time::{Duration, Instant};
 
 use model::id;
 
-use crate::dispatch::quota::pace;
 use crate::dispatch::quota::rate;
+use crate::dispatch::quota::report_timing;
 use crate::dispatch::quota::usage::{self, Admitted, Key, Usage};
 
-/// Time for which the requests of a node that fell silent are remembered.
+/// Time for which the demand at an unreachable node is kept.
 ///
-/// Longer than a node that is cut off keeps its lease and its callers their look-ups.
-const REMEMBERED: Duration = Duration::from_secs(15);
+/// Longer than an isolated node keeps its lease and its callers keep their lookup results.
+const UNREACHABLE_RETENTION: Duration = Duration::from_secs(15);
 
-/// A usage with when it was reported.
+/// Latest usage that a node reported.
 #[derive(Clone, Debug)]
 struct Report {
     usage: Usage,
-    at: Instant,
-    /// Whether the sums hold it, and whether that of admitted requests does.
-    counts: bool,
-    is_expected: bool,
-    /// Admitted requests that were not forwarded yet; they fade as those of a rate.
-    not_forwarded: rate::Rate,
+    received_at: Instant,
+    /// Whether the usage is included in the sum of the demand.
+    is_valid: bool,
+    /// Whether it is also included in the sum of admitted requests.
+    is_extrapolated: bool,
+    /// Admitted requests that have not been forwarded yet, as a decaying rate.
+    unforwarded: rate::Rate,
 }
 
 impl Report {
-    fn new(usage: Usage, pace: pace::Pace, now: Instant) -> Self {
-        let not_forwarded = rate::Rate::new(usage::MEMORY, now);
-        Self { usage, at: now, counts: true, is_expected: pace.expects(), not_forwarded }
+    fn new(usage: Usage, timing: report_timing::ReportTiming, now: Instant) -> Self {
+        let unforwarded = rate::Rate::new(usage::TIME_CONSTANT, now);
+        let is_extrapolated = timing.extrapolates();
+        Self { usage, received_at: now, is_valid: true, is_extrapolated, unforwarded }
     }
 
     fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.at)
+        now.saturating_duration_since(self.received_at)
     }
 
-    /// Replaces the usage; returns how many more requests were admitted than the one before let expect.
-    fn replace(&mut self, usage: Usage, pace: pace::Pace, now: Instant) -> f64 {
+    /// Replaces the usage; returns how many more requests were admitted than the previous usage predicted.
+    fn replace(&mut self, usage: Usage, timing: report_timing::ReportTiming, now: Instant) -> f64 {
         let age = self.age(now);
-        let expected = self.usage.admitted * age.min(pace.expected).as_secs_f64();
-        let (admitted, surplus) = match usage.admitted_since(&self.usage, age, pace) {
-            Admitted::Since(admitted) => (admitted, admitted - expected),
-            Admitted::Anew(admitted) => (expected + admitted, admitted),
+        let predicted = self.usage.admitted * age.min(timing.extrapolation).as_secs_f64();
+        let (admitted, surplus) = match usage.admitted_since(&self.usage, age, timing) {
+            Admitted::SinceReport(admitted) => (admitted, admitted - predicted),
+            Admitted::SinceRestart(admitted) => (predicted + admitted, admitted),
         };
-        self.not_forwarded.add(admitted, now);
-        (self.usage, self.at) = (usage, now);
-        (self.counts, self.is_expected) = (true, pace.expects());
+        self.unforwarded.add(admitted, now);
+        (self.usage, self.received_at) = (usage, now);
+        (self.is_valid, self.is_extrapolated) = (true, timing.extrapolates());
         surplus
     }
 }
 
-/// What is new in a report.
+/// Effect of a report on the fleet's bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
-    /// How many more requests the node admitted than its report before let expect; fewer where it is negative.
+pub enum Effect {
+    /// How many more requests the node admitted than its previous report predicted; negative if it admitted fewer.
     Surplus(f64),
-    /// It is the node's first one; before it, a node is expected to admit its part of the limit.
+    /// First report of the node; until then the node is assumed to admit its share of the limit.
     First,
 }
 
-/// What the nodes that are reached reported together.
+/// Sum of the usages at reachable nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sum {
-    /// Requests a second.
-    pub asked: f64,
-    /// Admitted requests a second.
+    /// Requests per second that reach the nodes.
+    pub demand: f64,
+    /// Requests per second that the nodes admit.
     pub admitted: f64,
 }
 
 impl Sum {
-    fn add(&mut self, usage: &Usage, is_expected: bool, sign: f64) {
-        self.asked = (self.asked + sign * usage.asked).max(0.0);
-        if is_expected {
+    fn add(&mut self, usage: &Usage, is_extrapolated: bool, sign: f64) {
+        self.demand = (self.demand + sign * usage.asked).max(0.0);
+        if is_extrapolated {
             self.admitted = (self.admitted + sign * usage.admitted).max(0.0);
         }
     }
 }
 
-/// The reports of one organisation.
+/// Reports about one organisation.
 #[derive(Clone, Debug, Default)]
-struct OfKey {
+struct KeyReports {
     by_node: collections::HashMap<id::Node, Report>,
     sum: Sum,
-    /// Requests a second of the nodes that are no longer reached.
-    silent: f64,
-    /// When a node said last that the organisation is near its limit.
-    near_at: Option<Instant>,
+    /// Last reported demand at nodes that have become unreachable, in requests per second.
+    unreachable_demand: f64,
+    /// When a node last reported that the organisation is near its limit.
+    near_limit_at: Option<Instant>,
 }
 
-impl OfKey {
-    fn record(&mut self, node: &id::Node, usage: Usage, pace: pace::Pace, now: Instant) -> News {
+impl KeyReports {
+    fn record(
+        &mut self,
+        node: &id::Node,
+        usage: Usage,
+        timing: report_timing::ReportTiming,
+        now: Instant,
+    ) -> Effect {
         if usage.is_near {
-            self.near_at = Some(now);
+            self.near_limit_at = Some(now);
         }
         let Some(report) = self.by_node.get_mut(node) else {
-            let mut report = Report::new(usage, pace, now);
-            report.not_forwarded.add(usage.excess, now);
+            let mut report = Report::new(usage, timing, now);
+            report.unforwarded.add(usage.excess, now);
             self.by_node.insert(node.clone(), report);
-            self.sum.add(&usage, pace.expects(), 1.0);
-            return News::First;
+            self.sum.add(&usage, timing.extrapolates(), 1.0);
+            return Effect::First;
         };
-        let before = (report.usage, report.counts, report.is_expected);
-        let surplus = report.replace(usage, pace, now);
-        let (before, did_count, was_expected) = before;
-        match did_count {
-            true => self.sum.add(&before, was_expected, -1.0),
-            false => self.silent = (self.silent - before.asked).max(0.0),
+        let (previous, was_valid) = (report.usage, report.is_valid);
+        let was_extrapolated = report.is_extrapolated;
+        let surplus = report.replace(usage, timing, now);
+        match was_valid {
+            true => self.sum.add(&previous, was_extrapolated, -1.0),
+            false => {
+                self.unreachable_demand = (self.unreachable_demand - previous.asked).max(0.0);
+            }
         }
-        self.sum.add(&usage, pace.expects(), 1.0);
-        News::Surplus(surplus)
+        self.sum.add(&usage, timing.extrapolates(), 1.0);
+        Effect::Surplus(surplus)
     }
 
-    /// Drops what is older than `kept`, and works the sums out anew, so that no rounding remains in them.
-    fn expire(&mut self, kept: Duration, pace: pace::Pace, now: Instant) {
-        let (mut sum, mut silent) = (Sum::default(), 0.0);
+    /// Removes reports older than `retention`, and recomputes the sums so that no rounding errors accumulate.
+    fn expire(&mut self, retention: Duration, timing: report_timing::ReportTiming, now: Instant) {
+        let (mut sum, mut unreachable_demand) = (Sum::default(), 0.0);
         self.by_node.retain(|_, report| {
             let age = report.age(now);
-            (report.counts, report.is_expected) = (age < pace.fresh, age < pace.expected);
-            match report.counts {
-                true => sum.add(&report.usage, report.is_expected, 1.0),
-                false if age < kept => silent += report.usage.asked,
+            report.is_valid = age < timing.validity;
+            report.is_extrapolated = age < timing.extrapolation;
+            match report.is_valid {
+                true => sum.add(&report.usage, report.is_extrapolated, 1.0),
+                false if age < retention => unreachable_demand += report.usage.asked,
                 false => {}
             }
-            age < kept
+            age < retention
         });
-        (self.sum, self.silent) = (sum, silent);
+        (self.sum, self.unreachable_demand) = (sum, unreachable_demand);
     }
 
-    /// Returns what the `wanted` nodes ask together, and how many admitted requests of theirs were not forwarded yet.
+    /// Returns the summed usage of the nodes selected by `is_included`, and the number of their admitted requests that have not
+    /// been forwarded yet; marks these as forwarded.
     fn forward(
         &mut self,
-        wanted: &impl Fn(&id::Node) -> bool,
+        is_included: &impl Fn(&id::Node) -> bool,
         now: Instant,
     ) -> Option<(Usage, f64)> {
-        let of_wanted = self.by_node.iter_mut().filter(|(node, r)| r.counts && wanted(node));
+        let included = self.by_node.iter_mut().filter(|(node, r)| r.is_valid && is_included(node));
         let mut sum: Option<(Usage, f64)> = None;
-        for (_, report) in of_wanted {
+        for (_, report) in included {
             let (usage, admitted) = sum.get_or_insert((Usage::none(report.usage.key), 0.0));
             usage.asked += report.usage.asked;
             usage.excess += report.usage.excess;
             usage.debt = usage.debt.max(report.usage.debt);
             usage.is_near |= report.usage.is_near;
-            *admitted += report.not_forwarded.get(now) * usage::MEMORY.as_secs_f64();
-            report.not_forwarded = rate::Rate::new(usage::MEMORY, now);
+            *admitted += report.unforwarded.get(now) * usage::TIME_CONSTANT.as_secs_f64();
+            report.unforwarded = rate::Rate::new(usage::TIME_CONSTANT, now);
         }
         sum
     }
 }
 
-/// The latest usages that other nodes reported.
+/// Latest usages that other nodes reported.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    /// Those of all organisations together.
-    all: OfKey,
-    by_key: collections::HashMap<Key, OfKey>,
-    pace: pace::Pace,
+    /// Reports about all organisations together.
+    total: KeyReports,
+    by_key: collections::HashMap<Key, KeyReports>,
+    timing: report_timing::ReportTiming,
 }
 
 impl Reports {
     /// Sets how often nodes repeat their usages.
-    pub fn set_pace(&mut self, pace: pace::Pace) {
-        self.pace = pace;
+    pub fn set_timing(&mut self, timing: report_timing::ReportTiming) {
+        self.timing = timing;
     }
 
-    /// Records what a node reported of an organisation.
-    pub fn record(&mut self, node: &id::Node, usage: Usage, now: Instant) -> News {
-        let of_key = match usage.key {
-            Key::ALL => &mut self.all,
+    /// Records a usage that a node reported.
+    pub fn record(&mut self, node: &id::Node, usage: Usage, now: Instant) -> Effect {
+        let key_reports = match usage.key {
+            Key::ALL => &mut self.total,
             key => self.by_key.entry(key).or_default(),
         };
-        of_key.record(node, usage, self.pace, now)
+        key_reports.record(node, usage, self.timing, now)
     }
 
-    /// Returns of how many nodes, or sums of several, there are reports.
+    /// Returns how many nodes, or sums of several nodes, have reported.
     #[must_use]
-    pub fn heard(&self) -> usize {
-        self.all.by_node.len()
+    pub fn reporting_nodes(&self) -> usize {
+        self.total.by_node.len()
     }
 
-    /// Returns what is asked of the nodes that are reached, by all organisations.
+    /// Returns the demand of all organisations at reachable nodes, in requests per second.
     #[must_use]
-    pub fn reached(&self) -> f64 {
-        self.all.sum.asked
+    pub fn reachable_demand(&self) -> f64 {
+        self.total.sum.demand
     }
 
-    /// Returns what was asked last of the nodes that are no longer reached, by all organisations.
+    /// Returns the last reported demand of all organisations at nodes that have become unreachable, in requests per second.
     #[must_use]
-    pub fn silent(&self) -> f64 {
-        self.all.silent
+    pub fn unreachable_demand(&self) -> f64 {
+        self.total.unreachable_demand
     }
 
-    /// Returns what the nodes that are reached reported together of an organisation.
+    /// Returns the sum of an organisation over the reachable nodes.
     #[must_use]
     pub fn sum(&self, key: Key) -> Sum {
-        self.by_key.get(&key).map(|of_key| of_key.sum).unwrap_or_default()
+        self.by_key.get(&key).map(|key_reports| key_reports.sum).unwrap_or_default()
     }
 
-    /// Returns the organisations that a node said within `time` are near their limits.
+    /// Returns the organisations that a node reported as near their limits within the last `time`.
     #[must_use]
-    pub fn near(&self, now: Instant, time: Duration) -> Vec<Key> {
-        let is_near = |of_key: &OfKey| {
-            of_key.near_at.is_some_and(|at| now.saturating_duration_since(at) < time)
+    pub fn near_limit(&self, now: Instant, time: Duration) -> Vec<Key> {
+        let is_near = |key_reports: &KeyReports| {
+            key_reports.near_limit_at.is_some_and(|at| now.saturating_duration_since(at) < time)
         };
-        let near = self.by_key.iter().filter(|(_, of_key)| is_near(of_key));
+        let near = self.by_key.iter().filter(|(_, key_reports)| is_near(key_reports));
         near.map(|(key, _)| *key).collect()
     }
 
-    /// Returns what the `wanted` nodes reported together, by organisation, and how many admitted requests of theirs were not
-    /// forwarded yet; these count as forwarded from now on.
+    /// Returns the summed usages of the nodes selected by `is_included`, by organisation, each with the number of admitted
+    /// requests that have not been forwarded yet; marks these as forwarded.
     pub fn forward(
         &mut self,
-        wanted: impl Fn(&id::Node) -> bool,
+        is_included: impl Fn(&id::Node) -> bool,
         now: Instant,
     ) -> Vec<(Usage, f64)> {
-        let all = std::iter::once(&mut self.all).chain(self.by_key.values_mut());
-        all.filter_map(|of_key| of_key.forward(&wanted, now)).collect()
+        let all = std::iter::once(&mut self.total).chain(self.by_key.values_mut());
+        all.filter_map(|key_reports| key_reports.forward(&is_included, now)).collect()
     }
 
-    /// Drops what no longer counts.
+    /// Removes reports that are no longer needed.
     pub fn expire(&mut self, now: Instant) {
-        let pace = self.pace;
-        self.all.expire(REMEMBERED, pace, now);
-        self.by_key.retain(|_, of_key| {
-            of_key.expire(pace.fresh.max(super::NEAR_TIME), pace, now);
-            !of_key.by_node.is_empty()
+        let timing = self.timing;
+        self.total.expire(UNREACHABLE_RETENTION, timing, now);
+        self.by_key.retain(|_, key_reports| {
+            key_reports.expire(timing.validity.max(super::NEAR_LIMIT_TIME), timing, now);
+            !key_reports.by_node.is_empty()
         });
     }
 }
--- a/crates/steer/src/dispatch/quota/usage.rs
+++ b/crates/steer/src/dispatch/quota/usage.rs
@@ -1,100 +1,109 @@
-//! Usage: how many requests an organisation asks of a node, and how many of them the node admits, as nodes report it.
+//! Demand and admitted requests of an organisation, as nodes report them to each other.
 
 use std::time::Duration;
 
 use model::id;
 use xxhash_rust::xxh3;
 
-use crate::dispatch::quota::pace;
+use crate::dispatch::quota::report_timing;
 
-/// Time in which a request loses most of its weight in the rates that are reported.
+/// Time constant of the reported rates.
 ///
-/// A tenth of it is the time between two reports, and a few requests in it still make a rate.
-pub const MEMORY: Duration = Duration::from_secs(1);
+/// It is ten times the time between two reports, and long enough that a few requests still give a usable rate.
+pub const TIME_CONSTANT: Duration = Duration::from_secs(1);
 
-/// Smallest age of a report, in memories, at which it matters how much faded since.
-const LEAST_AGES: f64 = 1e-6;
+/// Shortest time, in time constants, for which the decay within it is taken into account.
+const MIN_DECAY_TIME: f64 = 1e-6;
 
-/// Most by which one report is later than another: a rate that falls as far in that time is no sign of a new start.
+/// Largest assumed jitter of reports: a rate that falls no further than it decays in that time does not indicate a restart.
 ///
-/// Without it each late report of a falling rate counted as a new start and took the whole rate again: of a deployment of 75
-/// nodes a third of all requests was refused below the limits (worth 0.210 for 0.586 on a day when all nodes are killed).
-const UNEVEN: Duration = Duration::from_secs(1);
+/// Without it, each late report of a falling rate counted as a restart and deducted the whole rate again. A deployment of 75 nodes
+/// then refused a third of all requests although they were below the limits, and a test day in which all nodes are killed scored
+/// 0.210 instead of 0.586.
+const MAX_JITTER: Duration = Duration::from_secs(1);
 
-/// Difference between two rates that is a matter of rounding: reports are in hundredths of a request a second.
-const ROUNDING: f64 = 0.011;
+/// Difference between two rates that may be due to rounding, as reports hold hundredths of a request per second.
+const ROUNDING_TOLERANCE: f64 = 0.011;
 
-/// Short name of an organisation in the gossip between nodes.
+/// Hash of an organisation's name that identifies it in reports between nodes.
 ///
-/// Of 10,000 organisations two share one with a probability of about 1 %, by the length of the hash; both are then held
-/// to the limit of one of them.
+/// The hash has 32 bits: among 10,000 organisations, two share one with a probability of about 1 %. Both are then held to the
+/// limit of one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key(pub u32);
 
 impl Key {
-    /// All organisations together.
+    /// Stands for all organisations together.
     pub const ALL: Self = Self(0);
 
-    /// Returns the short name of an organisation.
+    /// Returns the key of an organisation.
     #[must_use]
     pub fn of(organisation: &id::Organisation) -> Self {
         let hash = xxh3::xxh3_64(organisation.as_str().as_bytes());
         #[expect(clippy::cast_possible_truncation, reason = "the low half of a hash")]
-        let short = hash as u32;
-        Self(short.max(1))
+        let key = hash as u32;
+        Self(key.max(1))
     }
 }
 
-/// How many requests an organisation asks of a node, or of several, and how many are admitted.
+/// Demand and admitted requests of an organisation at one node, or at several together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
     /// The organisation.
     pub key: Key,
-    /// Requests a second.
+    /// Requests per second that reach the node.
     pub asked: f64,
-    /// Admitted requests a second.
+    /// Requests per second that the node admits.
     pub admitted: f64,
-    /// Requests that the node admitted beyond its part of the limit in the last moments.
+    /// Recent requests that the node admitted beyond its share of the limit.
     pub excess: f64,
-    /// Requests that the fleet admitted beyond the limit and did not pay back yet, as the node knows it.
+    /// Requests that the fleet admitted beyond the limit and has not repaid yet, as far as the node knows.
     pub debt: f64,
-    /// Whether that is so much that the others should report theirs.
+    /// Whether the organisation is near its limit, so that the other nodes should report their usage too.
     pub is_near: bool,
 }
 
 impl Usage {
-    /// Returns the usage of an organisation that asks nothing.
+    /// Returns the usage of an organisation without requests.
     #[must_use]
     pub fn none(key: Key) -> Self {
         Self { key, asked: 0.0, admitted: 0.0, excess: 0.0, debt: 0.0, is_near: false }
     }
 
-    /// Returns how many requests were admitted since `before` was reported, `age` ago.
+    /// Returns how many requests were admitted since `previous` was reported, `age` ago.
     ///
-    /// A rate is a sum of requests that fade with [`MEMORY`], so two of them tell what came between, however many reports
-    /// between them were lost. Where the rate fell faster than requests fade, by more than reports are late, the node started
-    /// again: what it admitted before its end and did not report is not known, and what it admitted since is its rate.
+    /// A rate is a sum of requests that decay with [`TIME_CONSTANT`], so two rates determine how many requests came between them,
+    /// however many reports between them were lost. A rate that fell faster than it decays, even allowing for [`MAX_JITTER`],
+    /// means that the node restarted: requests that it admitted but did not report before are unknown, and the requests admitted
+    /// since are given by its rate.
     #[must_use]
-    pub fn admitted_since(&self, before: &Self, age: Duration, pace: pace::Pace) -> Admitted {
-        let memory = MEMORY.as_secs_f64();
-        let ages = age.as_secs_f64() / memory;
-        let came = self.admitted - before.admitted * (-ages).exp();
-        let least = before.admitted * (-ages - UNEVEN.as_secs_f64() / memory).exp() - ROUNDING;
-        // Of requests that came evenly meanwhile, or since they were due to be reported, this part has not faded yet.
-        let spread = ages.min(pace.gathered.as_secs_f64() / memory);
-        let left = if spread > LEAST_AGES { -(-spread).exp_m1() / spread } else { 1.0 };
-        match self.admitted >= least {
-            true => Admitted::Since(came.max(0.0) * memory / left),
-            false => Admitted::Anew(self.admitted * memory),
+    pub fn admitted_since(
+        &self,
+        previous: &Self,
+        age: Duration,
+        timing: report_timing::ReportTiming,
+    ) -> Admitted {
+        let time_constant = TIME_CONSTANT.as_secs_f64();
+        let decay_time = age.as_secs_f64() / time_constant;
+        let jitter = MAX_JITTER.as_secs_f64() / time_constant;
+        let added = self.admitted - previous.admitted * (-decay_time).exp();
+        let min_rate = previous.admitted * (-decay_time - jitter).exp() - ROUNDING_TOLERANCE;
+        // Part of the requests that has not decayed yet, if they came evenly since the last report or within the delay in which
+        // they have to be reported, whichever is shorter.
+        let spread = decay_time.min(timing.max_delay.as_secs_f64() / time_constant);
+        let remaining = if spread > MIN_DECAY_TIME { -(-spread).exp_m1() / spread } else { 1.0 };
+        match self.admitted >= min_rate {
+            true => Admitted::SinceReport(added.max(0.0) * time_constant / remaining),
+            false => Admitted::SinceRestart(self.admitted * time_constant),
         }
     }
 }
 
-/// Requests that were admitted between two reports of a node.
+/// Requests that a node admitted between two of its reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admitted {
-    /// All of them.
-    Since(f64),
-    /// Those after the node started again.
-    Anew(f64),
+    /// All requests since the previous report.
+    SinceReport(f64),
+    /// The requests since the node restarted.
+    SinceRestart(f64),
 }
--- a/crates/steer/src/dispatch/upstream_limit/mod.rs
+++ b/crates/steer/src/dispatch/upstream_limit/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::dispatch::peer_load;
 use crate::dispatch::priority;
-use crate::dispatch::quota::{self, account, pace, usage};
+use crate::dispatch::quota::{self, account, report_timing, usage};
 
 /// Least rate of an account, in requests a second, so that an upstream that takes none is tried now and then: only an answer
 /// says that a limit has ended.
@@ -131,7 +131,7 @@
     /// Counts a request, by which nodes work out their parts of the limits.
     pub fn count(&mut self, now: Instant) {
         if let Some(accounts) = &mut self.accounts {
-            accounts.count(now);
+            accounts.count_request(now);
         }
     }
 
@@ -146,7 +146,7 @@
         rank: priority::Rank,
         now: Instant,
     ) -> Result<(), Duration> {
-        let Some(accounts) = self.accounts.as_mut().filter(|accounts| accounts.is_used()) else {
+        let Some(accounts) = self.accounts.as_mut().filter(|accounts| accounts.has_limits()) else {
             return Ok(());
         };
         let key = account_key(upstream);
@@ -214,7 +214,11 @@
         self.announcer.retain(|upstream| observations.get(upstream).is_some());
         if let Some(accounts) = &mut self.accounts {
             // One usage more is that of all requests together.
-            accounts.set_pace(pace::Pace::of(self.observations.count() + 1, self.others));
+            let timing = report_timing::ReportTiming::without_extrapolation(
+                self.observations.count() + 1,
+                self.others,
+            );
+            accounts.set_timing(timing);
             accounts.tick(now);
         }
     }
@@ -225,7 +229,7 @@
         let Some(rate) = limit else {
             self.demands.remove(&upstream);
             if let Some(accounts) = &mut self.accounts {
-                accounts.lift(key);
+                accounts.remove_limit(key);
             }
             return;
         };
@@ -238,7 +242,7 @@
             accounts.set_store_known(self.is_store_known);
             accounts
         });
-        accounts.limit(key, "", quota, now);
+        accounts.set_limit(key, "", quota, now);
     }
 }
 
