--- a/crates/steer/src/dispatch/upstream_limit/mod.rs
+++ b/crates/steer/src/dispatch/upstream_limit/mod.rs
@@ -1,14 +1,15 @@
-//! Limits that upstreams name in their answers: the requests a second that each takes from all nodes together.
+//! Rate limits that upstreams announce in their responses: the requests per second that an upstream accepts from all nodes
+//! together.
 //!
-//! Owns what is known of them ([`observation`]) and reported to other nodes ([`announcement`]), and the fleet's account of each upstream that names
-//! one. The accounts are those of [`quota`]: each node keeps a bucket of the whole fleet, and all admit the same part of what
-//! would go to the upstream, so its limit is used wherever its requests come from. A limit is neither a fault nor a full queue:
-//! an upstream is chosen as if it had none, and skipped where its account admits no more. Reads no clock; the present is
-//! passed in.
+//! [`observation`] keeps the announced limits, [`announcement`] reports them to other nodes, and each upstream with a limit has
+//! an account. The accounts are those of [`quota`]: each node keeps a token bucket of the whole fleet, and all nodes admit the
+//! same ratio of the requests for the upstream, so its limit is used wherever the requests come from. A limit is neither a
+//! fault nor a full queue: an upstream is selected as if it had no limit, and skipped if its account admits no more requests.
+//! Reads no clock; the current time is passed in.
 
 pub mod announcement;
-pub mod demand;
 pub mod observation;
+pub mod urgency_mix;
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -21,46 +22,47 @@
 use crate::dispatch::priority;
 use crate::dispatch::quota::{self, account, report_timing, usage};
 
-/// Least rate of an account, in requests a second, so that an upstream that takes none is tried now and then: only an answer
-/// says that a limit has ended.
-const LEAST_RATE: f64 = 0.25;
+/// Lowest rate of an account, in requests per second. An upstream that accepts no requests is still tried now and then, since
+/// only a response shows that the limit has ended.
+const MIN_RATE: f64 = 0.25;
 
-/// What an account holds, as the time in which its rate fills it: what came too late to be used is sent soon after.
-const BURST: Duration = Duration::from_millis(500);
+/// Burst of an account, as the time in which its rate refills it, so that tokens that were not used in time can be used soon
+/// after.
+const BURST_TIME: Duration = Duration::from_millis(500);
 
-/// Least that an account holds, in requests; one request alone would often wait for the next one of another node.
-const LEAST_BURST: f64 = 3.0;
+/// Smallest burst of an account, in requests. With a burst of one, a request would often have to wait after one at another node.
+const MIN_BURST: f64 = 3.0;
 
-/// What a node knows of the limits that upstreams name.
+/// Limits that upstreams announced, as one node knows them.
 #[derive(Clone, Debug)]
 pub struct Limits {
     node: id::Node,
     observations: observation::Observations,
     announcer: announcement::Announcer,
-    /// Accounts of the upstreams that name limits; none before the first one does.
+    /// Accounts of the upstreams with limits; `None` until the first limit is announced.
     accounts: Option<quota::Quotas>,
-    demands: collections::HashMap<peer_load::Key, demand::Demand>,
+    urgency_mixes: collections::HashMap<peer_load::Key, urgency_mix::UrgencyMix>,
     others: usize,
     is_store_known: bool,
 }
 
-/// What a node, or the sum of several, reports of limits.
+/// Report about limits from one node, or summed over several.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// What upstreams name.
+    /// Limits that upstreams announced.
     pub announcements: Vec<announcement::Announcement>,
-    /// What is sent to those that name limits.
+    /// Requests for the upstreams with limits.
     pub usages: Vec<usage::Usage>,
 }
 
-/// What was forwarded of the reports of some nodes.
+/// Forwards the summed reports of one group of nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Forwarder {
     announcer: announcement::Announcer,
     usages: quota::forwarder::Forwarder,
 }
 
-/// The limit of an upstream that a report changed.
+/// Change of an upstream's limit that a report caused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Changed {
     /// The upstream.
@@ -70,7 +72,7 @@
 }
 
 impl Limits {
-    /// Makes the limits of a node that knows of none.
+    /// Creates an empty set of limits for `node`.
     #[must_use]
     pub fn new(node: id::Node) -> Self {
         Self {
@@ -78,13 +80,13 @@
             observations: observation::Observations::default(),
             announcer: announcement::Announcer::default(),
             accounts: None,
-            demands: collections::HashMap::new(),
+            urgency_mixes: collections::HashMap::new(),
             others: 0,
             is_store_known: true,
         }
     }
 
-    /// Sets how many other nodes are known or listed, and whether this node, or one that it reaches, reaches the store.
+    /// Sets how many other nodes are known or listed, and whether this node reaches the store, itself or through another node.
     pub fn set_contact(&mut self, others: usize, is_store_known: bool) {
         (self.others, self.is_store_known) = (others, is_store_known);
         if let Some(accounts) = &mut self.accounts {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Records what an answer says; returns how the limit changed, if it did.
+    /// Records the limit in a response; returns the change if the limit changed.
     pub fn observe(
         &mut self,
         upstream: peer_load::Key,
@@ -110,7 +112,7 @@
         Some(change)
     }
 
-    /// Records what another node, or a sum of several, reported; returns the limits that changed.
+    /// Records a report from another node, or summed over several; returns the limits that changed.
     pub fn receive(&mut self, node: &id::Node, report: &Report, now: Instant) -> Vec<Changed> {
         let mut changed = Vec::new();
         for announcement in &report.announcements {
@@ -128,18 +130,18 @@
         changed
     }
 
-    /// Counts a request, by which nodes work out their parts of the limits.
+    /// Counts a request in the demand from which nodes derive their shares of the limits.
     pub fn count(&mut self, now: Instant) {
         if let Some(accounts) = &mut self.accounts {
             accounts.count_request(now);
         }
     }
 
-    /// Takes a request that would go to an upstream.
+    /// Admits a request for an upstream.
     ///
     /// # Errors
     ///
-    /// Returns the time after which there is room when its limit is used up.
+    /// Returns the time to wait before a retry if the upstream's limit is used up.
     pub fn admit(
         &mut self,
         upstream: peer_load::Key,
@@ -153,59 +155,61 @@
         if accounts.account(key).is_none() {
             return Ok(());
         }
-        let demand = self.demands.entry(upstream).or_insert_with(|| demand::Demand::new(now));
-        demand.record(rank, now);
-        accounts.take(key, |part| demand.part(part, rank, now), now).map(|_| ())
+        let new = || urgency_mix::UrgencyMix::new(now);
+        let mix = self.urgency_mixes.entry(upstream).or_insert_with(new);
+        mix.record(rank, now);
+        accounts.take(key, |ratio| mix.admission_ratio(ratio, rank, now), now).map(|_| ())
     }
 
-    /// Returns what this node has to report now.
+    /// Returns what this node is due to report.
     pub fn report(&mut self, now: Instant) -> Report {
-        let own = self.observations.iter().filter(|(_, word)| word.by.is_none());
+        let own = self.observations.iter().filter(|(_, observation)| observation.by.is_none());
         let announcements = self.announcer.due(own, now);
         let usages = self.accounts.as_mut().map(|accounts| accounts.report(now));
         Report { announcements, usages: usages.unwrap_or_default() }
     }
 
-    /// Returns what the `wanted` nodes reported together, as far as `forwarder` has not forwarded it yet.
+    /// Returns the summed report of the nodes selected by `is_included` that `forwarder` is due to forward.
     pub fn report_sum(
         &mut self,
-        wanted: impl Fn(&id::Node) -> bool,
+        is_included: impl Fn(&id::Node) -> bool,
         forwarder: &mut Forwarder,
         now: Instant,
     ) -> Report {
-        let of_wanted =
-            self.observations.iter().filter(|(_, word)| word.by.as_ref().is_some_and(&wanted));
-        let announcements = forwarder.announcer.due(of_wanted, now);
-        let sum =
-            |accounts: &mut quota::Quotas| accounts.report_sum(wanted, &mut forwarder.usages, now);
+        let included =
+            self.observations.iter().filter(|(_, o)| o.by.as_ref().is_some_and(&is_included));
+        let announcements = forwarder.announcer.due(included, now);
+        let sum = |accounts: &mut quota::Quotas| {
+            accounts.report_sum(is_included, &mut forwarder.usages, now)
+        };
         Report { announcements, usages: self.accounts.as_mut().map(sum).unwrap_or_default() }
     }
 
-    /// Returns the latest observation of an upstream's limit.
+    /// Returns the latest observation of an upstream's limit, if any.
     #[must_use]
     pub fn observation(&self, upstream: peer_load::Key) -> Option<&observation::Observation> {
         self.observations.get(upstream)
     }
 
-    /// Returns the account of an upstream that names a limit.
+    /// Returns the account of an upstream, or `None` if it has no limit.
     #[must_use]
     pub fn account(&self, upstream: peer_load::Key) -> Option<&account::Account> {
         self.accounts.as_ref()?.account(account_key(upstream))
     }
 
-    /// Returns how many upstreams name a limit.
+    /// Returns how many upstreams have a limit.
     #[must_use]
     pub fn count_named(&self) -> usize {
         self.observations.count()
     }
 
-    /// Forgets the limit of an upstream that started again.
+    /// Removes the limit of an upstream that restarted.
     pub fn forget(&mut self, upstream: peer_load::Key, now: Instant) {
-        self.observations.end(upstream, now);
+        self.observations.clear(upstream, now);
         self.apply(upstream, None, now);
     }
 
-    /// Drops what no longer matters.
+    /// Removes limits that have expired, and updates the accounts.
     pub fn tick(&mut self, is_known: impl Fn(peer_load::Key) -> bool, now: Instant) {
         for upstream in self.observations.expire(is_known, now) {
             self.apply(upstream, None, now);
@@ -213,7 +217,7 @@
         let observations = &self.observations;
         self.announcer.retain(|upstream| observations.get(upstream).is_some());
         if let Some(accounts) = &mut self.accounts {
-            // One usage more is that of all requests together.
+            // One more usage holds the total of all requests.
             let timing = report_timing::ReportTiming::without_extrapolation(
                 self.observations.count() + 1,
                 self.others,
@@ -223,18 +227,18 @@
         }
     }
 
-    /// Puts a limit into force, or ends it.
+    /// Sets or removes the limit of an upstream.
     fn apply(&mut self, upstream: peer_load::Key, limit: Option<limit::Rate>, now: Instant) {
         let key = account_key(upstream);
         let Some(rate) = limit else {
-            self.demands.remove(&upstream);
+            self.urgency_mixes.remove(&upstream);
             if let Some(accounts) = &mut self.accounts {
                 accounts.remove_limit(key);
             }
             return;
         };
-        let rate = rate.per_second().max(LEAST_RATE);
-        let burst = (rate * BURST.as_secs_f64()).max(LEAST_BURST);
+        let rate = rate.per_second().max(MIN_RATE);
+        let burst = (rate * BURST_TIME.as_secs_f64()).max(MIN_BURST);
         let quota = organisation::Quota { rate, burst };
         let accounts = self.accounts.get_or_insert_with(|| {
             let mut accounts = quota::Quotas::new(&self.node, 0.0, now);
@@ -246,7 +250,7 @@
     }
 }
 
-/// Returns under which key the account of an upstream stands; 0 is that of all together.
+/// Returns the key of an upstream's account; 0 is reserved for the total of all upstreams.
 fn account_key(upstream: peer_load::Key) -> usage::Key {
     usage::Key(upstream.0.max(1))
 }
--- a/crates/steer/src/dispatch/upstream_limit/observation.rs
+++ b/crates/steer/src/dispatch/upstream_limit/observation.rs
@@ -1,7 +1,7 @@
-//! Observations: the limit that each upstream named last.
+//! Latest limit that each upstream announced.
 //!
-//! Owns the latest observation of each upstream, by the time of the answer: this node's own answers and the reports of other nodes
-//! bring them in any order. Reports hold ages and no times, so that clocks need not agree.
+//! Observations come from this node's own responses and from reports of other nodes, in any order; the one with the latest
+//! response time applies. Reports hold ages instead of times, so that clocks need not be synchronised.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -11,42 +11,42 @@
 
 use crate::dispatch::peer_load;
 
-/// Upstreams of which something is remembered at most, so that reports cannot fill the memory.
-const MOST_UPSTREAMS: usize = 16_384;
+/// Largest number of upstreams with an observation, so that reports cannot exhaust the memory.
+const MAX_UPSTREAMS: usize = 16_384;
 
-/// Time for which an observation is remembered that is in force no more, so that an older one that arrives later is known to be older.
-const REMEMBERED: Duration = Duration::from_secs(10);
+/// Time for which an observation without effect is kept, so that an older one that arrives later is recognised as outdated.
+const RETENTION: Duration = Duration::from_secs(10);
 
-/// The latest observation of one upstream.
+/// Latest observation of one upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// The limit; none where the upstream named none any more.
+    /// The limit; `None` if the upstream no longer announces one.
     pub limit: Option<limit::Rate>,
-    /// When the upstream answered so.
+    /// When the upstream responded.
     pub at: Instant,
-    /// Since when the upstream names a limit without a break, whatever its rate.
+    /// Since when the upstream has announced a limit without interruption, whatever its rate.
     pub since: Instant,
-    /// The node that reported it; none for this one's own answers.
+    /// Node that reported the observation; `None` for this node's own responses.
     pub by: Option<id::Node>,
 }
 
-/// How the limit of an upstream changed.
+/// Change of an upstream's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Change {
-    /// The limit before.
+    /// Limit before the change.
     pub before: Option<limit::Rate>,
-    /// The limit now.
+    /// Limit after the change.
     pub now: Option<limit::Rate>,
 }
 
-/// The latest observation of each upstream.
+/// Latest observation of each upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     by_upstream: collections::HashMap<peer_load::Key, Observation>,
 }
 
 impl Observations {
-    /// Returns the latest observation of an upstream.
+    /// Returns the latest observation of an upstream, if any.
     #[must_use]
     pub fn get(&self, upstream: peer_load::Key) -> Option<&Observation> {
         self.by_upstream.get(&upstream)
@@ -57,15 +57,15 @@
         self.by_upstream.iter().map(|(upstream, known)| (*upstream, known))
     }
 
-    /// Returns how many upstreams name a limit.
+    /// Returns how many upstreams have a limit.
     #[must_use]
     pub fn count(&self) -> usize {
         self.by_upstream.values().filter(|known| known.limit.is_some()).count()
     }
 
-    /// Records what an upstream named at `at`; returns the change where it is the latest observation and differs.
+    /// Records an observation made at `at`; returns the change if it is the latest observation and changes the limit.
     ///
-    /// That an upstream names no limit is not remembered where it was never observed to name one.
+    /// The absence of a limit is not recorded for an upstream without an earlier observation.
     pub fn record(
         &mut self,
         upstream: peer_load::Key,
@@ -74,9 +74,9 @@
         by: Option<&id::Node>,
     ) -> Option<Change> {
         let known = self.by_upstream.get(&upstream);
-        let is_needless = known.is_none() && limit.is_none();
-        let is_full = known.is_none() && self.by_upstream.len() >= MOST_UPSTREAMS;
-        if is_needless || is_full || known.is_some_and(|known| at < known.at) {
+        let is_redundant = known.is_none() && limit.is_none();
+        let is_full = known.is_none() && self.by_upstream.len() >= MAX_UPSTREAMS;
+        if is_redundant || is_full || known.is_some_and(|known| at < known.at) {
             return None;
         }
         let before = known.and_then(|known| known.limit);
@@ -88,23 +88,23 @@
         (before != limit).then_some(Change { before, now: limit })
     }
 
-    /// Forgets what an upstream named that started again: an older observation counts no more.
-    pub fn end(&mut self, upstream: peer_load::Key, now: Instant) {
+    /// Removes the limit of an upstream that restarted; older observations no longer apply.
+    pub fn clear(&mut self, upstream: peer_load::Key, now: Instant) {
         if self.by_upstream.contains_key(&upstream) {
             self.record(upstream, None, now, None);
         }
     }
 
-    /// Drops limits that ended long ago, and those of upstreams that are no longer known; returns which.
+    /// Removes limits that ended long ago and limits of upstreams that are no longer known; returns their upstreams.
     pub fn expire(
         &mut self,
         is_known: impl Fn(peer_load::Key) -> bool,
         now: Instant,
     ) -> Vec<peer_load::Key> {
-        let is_over = |upstream: &peer_load::Key, known: &mut Observation| {
-            let is_fresh = now.saturating_duration_since(known.at) < REMEMBERED;
-            !is_fresh && (known.limit.is_none() || !is_known(*upstream))
+        let is_expired = |upstream: &peer_load::Key, known: &mut Observation| {
+            let is_recent = now.saturating_duration_since(known.at) < RETENTION;
+            !is_recent && (known.limit.is_none() || !is_known(*upstream))
         };
-        self.by_upstream.extract_if(is_over).map(|(upstream, _)| upstream).collect()
+        self.by_upstream.extract_if(is_expired).map(|(upstream, _)| upstream).collect()
     }
 }
