--- a/crates/steer/src/dispatch/fleet/active_set.rs
+++ b/crates/steer/src/dispatch/fleet/active_set.rs
@@ -1,46 +1,51 @@
-//! Active set: the nodes of a region that look-ups name; the others stand by.
+//! Active set: the nodes of a region that look-ups return; the others are on standby.
 //!
-//! A request costs least where the same few nodes meet the same upstreams again and again: connections are used
-//! again, loads are reported among few, and each node knows more of the objects. So a large region names its strongest
-//! nodes, and more of them as requests grow. Nodes that know the same members choose alike, without agreement: look-ups
-//! name the set, load reports go to it, and cold upstreams are owned in it. Nothing depends on the set being the same
-//! everywhere: any node serves whatever callers ask of it.
+//! Concentrating requests on few nodes keeps their cost low: connections to upstreams are reused,
+//! load reports go to fewer nodes, and each node has seen more of the objects. A large region
+//! therefore returns its nodes with the highest capacity, and more of them as the request rate
+//! grows. Every node computes the set from its own list of members, so nodes with the same list
+//! get the same set without coordination. Look-ups return the set, load reports are sent to it,
+//! and cold upstreams are assigned to owners within it. Correctness does not depend on nodes
+//! agreeing on the set: any node serves any request.
 
 use std::cmp;
 
 use model::id;
 use xxhash_rust::xxh3;
 
-/// Fewest nodes of the set; a region with no more names all.
+/// Minimum size of the set; a region with at most this many nodes returns all of them.
 ///
-/// Not measured alone; the loss of a few nodes at once must leave enough, and the regions of deployments with a dozen
-/// VMs name all of theirs.
+/// Large enough to survive the loss of several nodes at once, and for the regions of deployments
+/// with a dozen VMs to return all of their nodes.
 const MIN_NODES: usize = 9;
 
-/// Most nodes of the set: no caller takes more from one answer.
+/// Maximum size of the set: no caller uses more addresses from one answer.
 const MAX_NODES: usize = 64;
 
-/// Share of the region's capacity that the set has at least, so that a sudden burst finds room before it is known.
+/// Minimum share of the region's capacity in the set, so that it absorbs a burst before the request
+/// rates reported by the nodes reflect it.
 ///
-/// Not measured alone: docs/measurements/hundreds.md, row "callers are told few gateways", has it with other changes.
-const MIN_SHARE: f64 = 0.33;
+/// docs/measurements/hundreds.md, row "callers are told few gateways", covers it together with
+/// other changes.
+const MIN_CAPACITY_SHARE: f64 = 0.33;
 
-/// Requests a second for which a whole core is counted.
+/// Requests per second that one core is assumed to handle.
 ///
-/// Not measured; the busiest gateway of a full day took 0.044 of a core, control included, far from this bound.
+/// The busiest gateway of a full day used 0.044 of a core, control traffic included, far below this
+/// limit.
 const REQUESTS_PER_CORE: f64 = 800.0;
 
-/// Thousandths of a core that a node is taken to have which does not say.
+/// Capacity assumed for a node that reports none, in thousandths of a core.
 const DEFAULT_CAPACITY: u32 = 1_000;
 
-/// What a node reports of itself.
+/// The capacity and load that a node reports about itself.
 #[derive(Clone, Copy, Debug)]
 pub struct Node<'a> {
-    /// Its name.
+    /// The ID of the node.
     pub name: &'a id::Node,
-    /// Its processor, in thousandths of a core; 0 when it does not say.
+    /// CPU capacity in thousandths of a core; 0 when not reported.
     pub capacity: u32,
-    /// Requests that it takes a second.
+    /// Requests per second that the node handles.
     pub requests: u32,
 }
 
@@ -50,41 +55,44 @@
         f64::from(capacity) / 1_000.0
     }
 
-    /// Ranks nodes by their strength; equal ones by their hash, so that halls take turns.
-    fn rank(&self) -> (cmp::Reverse<u32>, u64, &id::Node) {
+    /// Sort key: highest capacity first, ties broken by a hash of the ID so that the order
+    /// interleaves halls.
+    fn sort_key(&self) -> (cmp::Reverse<u32>, u64, &id::Node) {
         let hash = xxh3::xxh3_64(self.name.as_str().as_bytes());
         let capacity = if self.capacity == 0 { DEFAULT_CAPACITY } else { self.capacity };
         (cmp::Reverse(capacity), hash, self.name)
     }
 }
 
-/// Returns those of a region's serving `nodes` that look-ups name.
+/// Returns the active set of a region, given its serving `nodes`.
 ///
-/// `of` returns what a node reports of itself.
-pub fn select<T>(mut nodes: Vec<T>, of: impl Fn(&T) -> Node<'_>) -> Vec<T> {
+/// `report` returns what a node reports about itself.
+pub fn select<T>(mut nodes: Vec<T>, report: impl Fn(&T) -> Node<'_>) -> Vec<T> {
     if nodes.len() <= MIN_NODES {
         return nodes;
     }
-    nodes.sort_by(|a, b| of(a).rank().cmp(&of(b).rank()));
-    let count = count(&nodes.iter().map(of).collect::<Vec<_>>());
+    nodes.sort_by(|a, b| report(a).sort_key().cmp(&report(b).sort_key()));
+    let count = active_count(&nodes.iter().map(report).collect::<Vec<_>>());
     nodes.truncate(count);
     nodes
 }
 
-/// Returns how many of the `ranked` nodes are enough; callers spread evenly over them.
-fn count(ranked: &[Node<'_>]) -> usize {
-    let all: f64 = ranked.iter().map(Node::cores).sum();
-    let requests: f64 = ranked.iter().map(|node| f64::from(node.requests)).sum();
+/// Returns the size of the smallest prefix of `sorted` that can handle the region's requests.
+///
+/// Callers spread requests evenly, so the node with the lowest capacity in the prefix is the limit.
+fn active_count(sorted: &[Node<'_>]) -> usize {
+    let total_cores: f64 = sorted.iter().map(Node::cores).sum();
+    let requests: f64 = sorted.iter().map(|node| f64::from(node.requests)).sum();
     let mut cores = 0.0;
-    for (index, weakest) in ranked.iter().enumerate() {
+    for (index, weakest) in sorted.iter().enumerate() {
         cores += weakest.cores();
         let count = index + 1;
         #[expect(clippy::cast_precision_loss, reason = "a few hundred nodes")]
-        let of_each = requests / count as f64;
-        let is_borne = of_each <= weakest.cores() * REQUESTS_PER_CORE;
-        if count >= MIN_NODES && cores >= all * MIN_SHARE && is_borne {
+        let requests_per_node = requests / count as f64;
+        let is_sufficient = requests_per_node <= weakest.cores() * REQUESTS_PER_CORE;
+        if count >= MIN_NODES && cores >= total_cores * MIN_CAPACITY_SHARE && is_sufficient {
             return count.min(MAX_NODES);
         }
     }
-    ranked.len().min(MAX_NODES)
+    sorted.len().min(MAX_NODES)
 }
--- a/crates/steer/src/dispatch/fleet/announcement.rs
+++ b/crates/steer/src/dispatch/fleet/announcement.rs
@@ -1,16 +1,18 @@
-//! Announcement: whether a node sends a heartbeat at once when its copy of the store moved ahead.
+//! Announcement: whether a node sends a heartbeat immediately after its copy of the store advanced.
 //!
-//! In a large region most nodes that learnt a change from a node nearby wait for their next heartbeat;
-//! otherwise all would announce it to all at once.
+//! In a large region most nodes that received a change from a node of the same region wait for
+//! their next regular heartbeat; otherwise every node would announce the change to every other at
+//! once.
 
-/// Nodes of a region that announce a change which they learnt inside the region.
+/// Average number of nodes per region that immediately announce a change received within the
+/// region.
 ///
-/// Not measured. In a region with no more other nodes than this, all announce.
+/// In a region with at most this many other nodes, all of them do.
 const ANNOUNCERS: usize = 20;
 
-/// Returns whether this node announces a change at once, beside `near` other nodes of its region.
+/// Returns whether this node announces a change immediately, in a region with `near` other nodes.
 ///
-/// `draw` returns a uniform number below its argument; it is used in large regions only.
+/// `draw` returns a uniform random number below its argument; it is called in large regions only.
 pub fn is_immediate(
     is_from_near_peer: bool,
     near: usize,
--- a/crates/steer/src/dispatch/fleet/catch_up.rs
+++ b/crates/steer/src/dispatch/fleet/catch_up.rs
@@ -1,51 +1,54 @@
-//! Catch up: when a node that is behind fetches changes, and from which nodes.
+//! Catch-up: when a node that lags behind fetches changes, and from which nodes.
 //!
-//! A node is behind when a heartbeat names a revision of the store after its own. A node that the store answers
-//! waits for it first; any other node asks nodes of its region, then of others, and its seeds while it knows
-//! nothing. A node that is asked may be dead and not known to be, so another one is asked beside it soon.
+//! A node lags when a heartbeat reports a newer store revision than its own. A node whose watch of
+//! the store works waits for the store first. Any other node asks nodes of its region, then nodes
+//! of other regions, and its seeds as long as its copy is incomplete. The node asked may have died
+//! undetected, so a hedged request goes to another one after a short delay.
 
 use std::time::Duration;
 
-/// Time for which a node that the store answers waits for it, when it is behind, before it asks another node.
+/// How long a lagging node whose watch works waits for the store before it asks another node.
 ///
-/// Not measured; longer than a watch usually takes to answer, so that few changes are fetched twice.
-const PATIENCE: Duration = Duration::from_millis(700);
+/// Longer than a watch usually takes to answer, so that few changes are fetched twice.
+const STORE_WAIT: Duration = Duration::from_millis(700);
 
-/// Time in which changes gather before a node is asked. Not measured; one answer then holds several.
+/// Delay before a node is asked, so that one answer contains several changes.
 pub const GATHER: Duration = Duration::from_millis(100);
 
-/// Time between two checks whether this node is behind. Not measured.
+/// Interval between checks whether this node lags.
 pub const CHECK_PERIOD: Duration = Duration::from_millis(200);
 
-/// Time after which another node is asked beside one that has not answered.
+/// Delay before a hedged request to another node while the first has not answered.
 ///
-/// Not measured; a node of another region answers in 0.15 s, and one that compresses a whole copy in 0.3 s.
+/// A node of another region answers within 0.15 s, and one that compresses a full copy within 0.3
+/// s.
 const HEDGE_AFTER: Duration = Duration::from_millis(400);
 
-/// Nodes that are asked at the same time, at most. Not measured; two may be dead.
-const MOST_ASKED: usize = 3;
+/// Maximum number of concurrent requests; succeeds even if two of the nodes are dead.
+const MAX_CONCURRENT: usize = 3;
 
-/// What a node that is behind knows of the store.
+/// State of the node's copy of the store and of its watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Standing {
-    /// Whether its copy of the store is complete.
+    /// Whether the copy of the store is complete.
     pub is_complete: bool,
-    /// Whether it watches the store, and the store answered it last time.
+    /// Whether the node watches the store and its latest call was answered.
     pub is_store_reached: bool,
 }
 
-/// Which nodes are asked for changes.
+/// Which nodes to ask for changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sources {
-    /// The nodes of its region that are ahead.
+    /// Nodes of the same region with a newer revision.
     Near,
-    /// The nodes of other regions that are ahead; there may be none.
+    /// Nodes of other regions with a newer revision; there may be none.
     Far,
-    /// The seeds of the settings.
+    /// The seeds from the settings.
     Seeds,
 }
 
-/// Returns which nodes to ask, by how many are ahead of this one and not being asked.
+/// Returns which nodes to ask, given how many nodes have a newer revision and are not being asked
+/// already.
 #[must_use]
 pub fn sources(near_ahead: usize, far_ahead: usize, standing: Standing) -> Sources {
     match (near_ahead, far_ahead) {
@@ -55,15 +58,16 @@
     }
 }
 
-/// Returns whether a node that has been behind for `behind` asks another one.
+/// Returns whether a node that has lagged for `behind` asks another node.
 #[must_use]
 pub fn is_due(standing: Standing, behind: Duration) -> bool {
     let waits_for_store = standing.is_complete && standing.is_store_reached;
-    !waits_for_store || behind >= PATIENCE
+    !waits_for_store || behind >= STORE_WAIT
 }
 
-/// Returns whether one more node is asked while `asked` have not answered, the latest of them for `waited`.
+/// Returns whether to ask one more node while `asked` requests are pending, the latest since
+/// `waited`.
 #[must_use]
 pub fn may_ask(asked: usize, waited: Duration) -> bool {
-    asked == 0 || asked < MOST_ASKED && waited >= HEDGE_AFTER
+    asked == 0 || asked < MAX_CONCURRENT && waited >= HEDGE_AFTER
 }
--- a/crates/steer/src/dispatch/fleet/doubt.rs
+++ b/crates/steer/src/dispatch/fleet/doubt.rs
@@ -1,40 +1,45 @@
-//! Doubt: what holds after the store was restored from a copy, until it is written again.
+//! Conflict resolution after the store was restored from a backup copy.
 //!
-//! Revisions say nothing across a restore, so what is known and what the copy says are compared by what they say themselves. What was
-//! acknowledged holds: a copy is older by its nature, and operators and upstreams write again what it lacks. Owns nothing.
+//! Revisions are not comparable across a restore, so a value known to the node and the value in the
+//! copy are compared by the versions they carry themselves. Acknowledged values win: a copy is
+//! always older, and operators and upstreams write again whatever it lacks. Stateless.
 
 use std::time::{Duration, Instant};
 
-/// Time after which what the store lost has been written again: its upstreams take some two seconds. What the copy lacks is kept as
-/// long, and what it brings back is kept out as long, unless its own content shows which is newer.
-pub const WRITTEN_AGAIN: Duration = Duration::from_secs(3);
+/// Time after a restore until lost values have been written again; upstreams take about two
+/// seconds.
+///
+/// Until then, values missing from the copy are kept and values that had been removed before the
+/// restore stay removed, unless the values themselves show which is newer.
+pub const REWRITE_PERIOD: Duration = Duration::from_secs(3);
 
-/// How far an upstream had come when it wrote its entry: its start, and the calls to discovery since.
+/// Logical timestamp of an upstream's entry: the start of the upstream, and the number of discovery
+/// calls it had made since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Written {
-    /// When the upstream started, in milliseconds since 1970; 0 where it does not say.
+    /// Start of the upstream, in milliseconds since the Unix epoch; 0 when not reported.
     pub born: u64,
-    /// Calls that it had made since.
+    /// Discovery calls made since the start.
     pub calls: u64,
 }
 
-/// What a value of the store says of its own age.
+/// The version that a value of the store carries itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Content {
-    /// A configuration of this version.
+    /// A configuration with its version.
     Configuration(u64),
-    /// An upstream's entry.
+    /// The entry of an upstream.
     Upstream {
-        /// When it was written.
+        /// When the entry was written.
         written: Written,
-        /// Whether the upstream leaves by it.
+        /// Whether the entry announces that the upstream is leaving.
         leaves: bool,
     },
-    /// Something that does not say how old it is.
+    /// A value without a version.
     Undated,
 }
 
-/// Returns whether what the store says after its return takes the place of what was `known` before.
+/// Returns whether the value in the restored store replaces the value `known` before the restore.
 #[must_use]
 pub fn replaces(known: Content, copy: Content) -> bool {
     match (known, copy) {
@@ -48,10 +53,12 @@
     }
 }
 
-/// Returns whether what the store holds after its return stands, though its key had been `removed` before.
+/// Returns whether a value in the restored store is valid although its key had been `removed`
+/// before the restore.
 ///
-/// An upstream that ended is listed again by a later entry of its own only; for what does not say how old it is, the doubt has to be over. An
-/// evacuation that was taken back is of that kind: its hall serves on, and is emptied if the store still says so then.
+/// The entry of an upstream that ended is accepted only if it is newer than the removed one. Values
+/// without a version are accepted once [`REWRITE_PERIOD`] has passed. A cancelled evacuation is an
+/// example: its hall keeps serving, and is evacuated if the store still says so after that time.
 #[must_use]
 pub fn comes_back(removed: Content, copy: Content, is_over: bool) -> bool {
     match (removed, copy) {
@@ -62,8 +69,9 @@
     }
 }
 
-/// Returns whether what was not written again since `returned` is gone.
+/// Returns whether [`REWRITE_PERIOD`] has passed since the restore, after which a value that was
+/// not written again is gone.
 #[must_use]
-pub fn is_over(returned: Instant, now: Instant) -> bool {
-    now.saturating_duration_since(returned) >= WRITTEN_AGAIN
+pub fn is_over(restored: Instant, now: Instant) -> bool {
+    now.saturating_duration_since(restored) >= REWRITE_PERIOD
 }
--- a/crates/steer/src/dispatch/fleet/gossip.rs
+++ b/crates/steer/src/dispatch/fleet/gossip.rs
@@ -1,79 +1,84 @@
-//! Gossip periods: how often nodes report to each other, and when a silent one counts as dead.
+//! Gossip intervals: how often nodes report to each other, and when a silent node counts as dead.
 //!
-//! Periods grow with the region, so that what a node receives in a second stays bounded.
+//! Intervals grow with the size of the region, which bounds the datagrams a node receives per
+//! second.
 
 use std::time::Duration;
 
-/// Shortest time between two heartbeats of a node. Not measured alone (docs/CAPACITY.md has its cost).
-const SHORTEST_HEARTBEAT: Duration = Duration::from_millis(500);
+/// Minimum heartbeat interval; docs/CAPACITY.md has its cost.
+const MIN_HEARTBEAT: Duration = Duration::from_millis(500);
 
-/// Longest time between two heartbeats of a node. Not measured alone.
-const LONGEST_HEARTBEAT: Duration = Duration::from_secs(1);
+/// Maximum heartbeat interval.
+const MAX_HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// Time between two heartbeats for each other node of the region. Not measured alone.
+/// Heartbeat interval per other node of the region.
 const HEARTBEAT_PER_NODE: Duration = Duration::from_millis(10);
 
-/// Shortest time between two load reports of a node.
+/// Minimum load report interval.
 ///
-/// Measured: docs/measurements/platform.md, row "loads told every 100 ms" (0.932 to 0.968 and 0.941 to
-/// 0.953, against no reports); other periods were not measured.
-const SHORTEST_LOAD_REPORT: Duration = Duration::from_millis(100);
+/// Compared to no reports: 0.932 to 0.968 and 0.941 to 0.953, see docs/measurements/platform.md,
+/// row "loads told every 100 ms".
+const MIN_LOAD_REPORT: Duration = Duration::from_millis(100);
 
-/// Time between two load reports for each other node of the region. Not measured alone.
+/// Load report interval per other node of the region.
 const LOAD_REPORT_PER_NODE: Duration = Duration::from_millis(8);
 
-/// Silence of a dead node, in heartbeat periods. Not measured; three may be lost or late.
+/// Heartbeat intervals without a heartbeat after which a node counts as dead; three heartbeats may
+/// be lost or late.
 const DEAD_AFTER_PERIODS: f64 = 3.2;
 
-/// Datagrams that a node sends one after the other; the next ones follow after [`BURST_PAUSE`].
+/// Datagrams sent back to back before a pause of [`BURST_PAUSE`].
 ///
-/// Not measured alone; a hundred at once fill the queue of a slow link, which drops the last ones, and delay
-/// requests on a small processor.
+/// A hundred at once overflow the queue of a slow link, which drops the last ones, and delay
+/// requests on a small CPU.
 const BURST: usize = 12;
 
-/// Pause between two such bursts. Not measured alone; a hundred datagrams are sent within 50 ms.
+/// Pause between bursts; a hundred datagrams are sent within 50 ms.
 pub const BURST_PAUSE: Duration = Duration::from_millis(6);
 
-/// Silence after which a node that no list names is forgotten. Not measured.
+/// Silence after which a node that is not listed in the store is forgotten.
 pub const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
 
-/// Returns the time between two heartbeats of a node beside `near` others in its region.
+/// Returns the heartbeat interval of a node with `near` other nodes in its region.
 #[must_use]
 pub fn heartbeat(near: usize) -> Duration {
-    HEARTBEAT_PER_NODE.saturating_mul(count(near)).clamp(SHORTEST_HEARTBEAT, LONGEST_HEARTBEAT)
+    HEARTBEAT_PER_NODE.saturating_mul(saturating_u32(near)).clamp(MIN_HEARTBEAT, MAX_HEARTBEAT)
 }
 
-/// Returns the time between two load reports of a node beside `near` others in its region.
+/// Returns the load report interval of a node with `near` other nodes in its region.
 #[must_use]
 pub fn load_report(near: usize) -> Duration {
-    SHORTEST_LOAD_REPORT.max(LOAD_REPORT_PER_NODE * count(near))
+    MIN_LOAD_REPORT.max(LOAD_REPORT_PER_NODE * saturating_u32(near))
 }
 
-/// Returns the order in which the `turn`-th heartbeat goes to nodes: each turn begins with another one, so that what a
-/// full link drops is not always meant for the same.
+/// Returns `nodes` in the order in which the `turn`-th heartbeat is sent to them.
+///
+/// Each turn starts at a different node, so that datagrams dropped by a congested link do not
+/// always hit the same nodes.
 pub fn in_turn<T>(nodes: &[T], turn: u64) -> impl Iterator<Item = &T> {
     let start = usize::try_from(turn).unwrap_or(0).wrapping_mul(BURST) % nodes.len().max(1);
     nodes[start..].iter().chain(&nodes[..start])
 }
 
-/// Returns whether a pause comes before the `index`-th of the nodes that a heartbeat goes to.
+/// Returns whether to pause before sending a heartbeat to the `index`-th node.
 #[must_use]
 pub fn is_pause_due(index: usize) -> bool {
     index > 0 && index.is_multiple_of(BURST)
 }
 
-/// Returns the silence after which a node of the own region counts as dead.
+/// Returns the silence after which a node of the same region counts as dead.
 #[must_use]
 pub fn near_dead_after(near: usize) -> Duration {
     heartbeat(near).mul_f64(DEAD_AFTER_PERIODS)
 }
 
-/// Returns the silence after which a node of another region, whose size is unknown, counts as dead.
+/// Returns the silence after which a node of another region counts as dead; the size of its region
+/// is unknown.
 #[must_use]
 pub fn far_dead_after() -> Duration {
-    LONGEST_HEARTBEAT.mul_f64(DEAD_AFTER_PERIODS)
+    MAX_HEARTBEAT.mul_f64(DEAD_AFTER_PERIODS)
 }
 
-fn count(nodes: usize) -> u32 {
+fn saturating_u32(nodes: usize) -> u32 {
     u32::try_from(nodes).unwrap_or(u32::MAX)
 }
--- a/crates/steer/src/dispatch/fleet/lookup.rs
+++ b/crates/steer/src/dispatch/fleet/lookup.rs
@@ -1,7 +1,8 @@
-//! Look-up: which nodes a caller may use, and for how long.
+//! Look-up: which nodes a caller may use, and for how long it may cache the answer.
 //!
-//! Owns nothing. Relies on the members for the nodes that serve, on the [`active_set`] where they are many, and on the
-//! nodes that the store lists where no living node of a route's home regions is known.
+//! Stateless. The serving nodes come from the members, limited to the [`active_set`] of each
+//! region. The nodes listed in the store are the fallback when no live node of a route's home
+//! regions is known.
 //!
 //! [`active_set`]: crate::dispatch::fleet::active_set
 
@@ -13,26 +14,26 @@
 
 use crate::dispatch::fleet::active_set;
 
-/// Longest time for which callers may cache an answer.
-///
-/// Not measured; short, so that callers soon avoid a node that leaves.
+/// Maximum time for which callers may cache an answer; short, so that callers soon stop using a
+/// node that leaves.
 const MAX_CACHE: Duration = Duration::from_secs(1);
 
-/// A node that an answer may name.
+/// A candidate for an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Node<'a> {
-    /// Its region.
+    /// The region of the node.
     pub region: &'a id::Region,
-    /// Its address for callers.
+    /// The address at which the node accepts callers.
     pub callers: net::SocketAddr,
-    /// What it says of itself.
+    /// The capacity and load that the node reports about itself.
     pub said: active_set::Node<'a>,
 }
 
-/// Returns the nodes for a caller in `region` that looks up a host with `homes`.
+/// Returns the addresses for a caller in `region` that looks up a host whose home regions are
+/// `homes`.
 ///
-/// Those of the caller's region that serve, else those of the home regions that serve, else those of the
-/// home regions that are listed, else all that serve.
+/// The first non-empty group is returned: serving nodes of the caller's region, serving nodes of
+/// the home regions, nodes of the home regions listed in the store, all serving nodes.
 pub fn addresses<'a>(
     region: &id::Region,
     homes: &[id::Region],
--- a/crates/steer/src/dispatch/fleet/membership.rs
+++ b/crates/steer/src/dispatch/fleet/membership.rs
@@ -1,12 +1,15 @@
-//! Membership: whether another node is one of this fleet.
+//! Membership: whether another node belongs to the same fleet.
 //!
-//! A node may get the address of one of another fleet that is gone, and those that knew it go on sending to it. Owns nothing.
+//! A node may be assigned the address of a former node of another fleet, whose nodes keep sending
+//! to that address. Stateless.
 
 use model::id;
 
-/// Returns whether a node that says `theirs` counts as one of the fleet `own`.
+/// Returns whether a node that reports the fleet ID `theirs` is treated as a member of the fleet
+/// `own`.
 ///
-/// Who does not know the number yet, such as a node that starts, counts: it knows nothing else either.
+/// A node without a fleet ID, such as one that has just started, is treated as a member: it has no
+/// other state of a fleet either.
 #[must_use]
 pub fn is_of(own: Option<id::Fleet>, theirs: Option<id::Fleet>) -> bool {
     match (own, theirs) {
--- a/crates/steer/src/dispatch/fleet/mod.rs
+++ b/crates/steer/src/dispatch/fleet/mod.rs
@@ -1,9 +1,19 @@
-//! Fleet: which nodes of a fleet do what for the others, and when.
+//! Roles and timing of the nodes of a fleet.
 //!
-//! Each node decides alone from the members that it knows ([`membership`] says who is one); nodes that know the same decide alike. The
-//! gateway's tasks own the members and perform the I/O. In the order of a change's way: [`watchers`] read
-//! it from the store by [`store_call`]s, [`announcement`] and [`catch_up`] spread it, [`repair`] brings what a node missed, [`gossip`] sets how often nodes report,
-//! [`representatives`] report between regions, and [`lookup`] names nodes of the [`active_set`] to callers, by the [`request_rate`] of each.
+//! Each node decides locally from its list of members (see [`membership`]); nodes with the same
+//! list reach the same decisions. The gateway's tasks own the member list and perform the I/O.
+//!
+//! The path of a change through the fleet:
+//!
+//! 1. [`watchers`] read it from the store, with the timeouts in [`store_call`].
+//! 2. [`announcement`] and [`catch_up`] spread it, and [`repair`] delivers reports that a node
+//!    missed.
+//! 3. [`gossip`] sets how often nodes report, and [`representatives`] exchange reports between
+//!    regions.
+//! 4. [`lookup`] returns the nodes of the [`active_set`] to callers, chosen by their capacity and
+//!    [`request_rate`].
+//!
+//! [`doubt`] resolves conflicts after the store was restored from a backup copy.
 
 pub mod active_set;
 pub mod announcement;
--- a/crates/steer/src/dispatch/fleet/repair.rs
+++ b/crates/steer/src/dispatch/fleet/repair.rs
@@ -1,32 +1,35 @@
-//! Repair: how a node that missed a report learns what the others know.
+//! Anti-entropy repair: how a node that missed a report receives the missing facts.
 //!
-//! Reports are sent a few times at most, so a node that was cut off or paused, started later, or is none of those that load reports go to would
-//! miss them for good. Each heartbeat therefore holds a digest of what its sender knows, and a node that knows something else
-//! answers with all that it knows itself. Nothing is sent where all know the same. Owns nothing.
+//! Reports are sent a few times at most. A node that was partitioned or paused, started later, or
+//! does not receive load reports would otherwise miss them permanently. Each heartbeat therefore
+//! contains a digest of the facts known to its sender, and a node with a different digest answers
+//! with all facts it knows. Nodes with equal digests exchange nothing. Stateless.
 
-/// Nodes that answer a heartbeat whose digest differs from theirs, on average; one alone may be cut off, or its datagram lost.
-const ANSWERS: usize = 8;
+/// Average number of nodes that answer a heartbeat with a different digest; a single one may be
+/// partitioned, or its datagram lost.
+const RESPONDERS: usize = 8;
 
-/// Digest of a set of facts, whatever their order; 0 for none.
+/// Order-independent digest of a set of facts; 0 for the empty set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Digest(pub u64);
 
 impl Digest {
-    /// Returns the digest of facts, each of which is named by a hash.
+    /// Returns the digest of `facts`, each given by its hash.
     #[must_use]
     pub fn of(facts: impl Iterator<Item = u64>) -> Self {
         Self(facts.fold(0, |digest, fact| digest ^ fact))
     }
 }
 
-/// Returns whether this node answers a heartbeat whose sender knows `theirs`, where it knows `own` itself and `receivers` nodes get the heartbeat.
+/// Returns whether this node, whose digest is `own`, answers a heartbeat with the digest `theirs`
+/// that was sent to `receivers` nodes.
 ///
-/// `draw` returns a uniform number below its argument; it is used in large regions only.
+/// `draw` returns a uniform random number below its argument; it is called in large regions only.
 pub fn is_answered(
     theirs: Digest,
     own: Digest,
     receivers: usize,
     draw: impl FnOnce(usize) -> usize,
 ) -> bool {
-    theirs != own && (receivers <= ANSWERS || draw(receivers) < ANSWERS)
+    theirs != own && (receivers <= RESPONDERS || draw(receivers) < RESPONDERS)
 }
--- a/crates/steer/src/dispatch/fleet/representatives.rs
+++ b/crates/steer/src/dispatch/fleet/representatives.rs
@@ -1,37 +1,39 @@
 //! Representatives: the few nodes of a region that exchange reports with other regions.
 //!
-//! So what a node sends and receives grows with its region and not with the fleet. A region's
-//! representatives are the first of its living nodes by name; the first of them forwards the sums for the
-//! rest. With no more nodes in a region than representatives, all exchange reports with all.
+//! The traffic of a node therefore grows with its region and not with the fleet. The
+//! representatives of a region are its first live nodes, ordered by ID; the first of them forwards
+//! the aggregated reports to the remaining nodes. In regions with at most [`PER_REGION`] nodes, all
+//! nodes are representatives.
 
 use std::collections;
 
 use model::id;
 
-/// Representatives of a region.
+/// Number of representatives per region.
 ///
-/// Measured: docs/measurements/platform.md, row "speakers tell between regions", and the sweep to 300 nodes
-/// in docs/CAPACITY.md; other counts were not measured.
+/// See docs/measurements/platform.md, row "speakers tell between regions", and the sweep to 300
+/// nodes in docs/CAPACITY.md.
 pub const PER_REGION: usize = 6;
 
 /// Returns whether `me` is a representative.
 ///
-/// `others` are the living nodes of its region, but `me`, that do not leave.
+/// `others` are the other live nodes of its region that are not leaving.
 pub fn contains<'a>(me: &id::Node, others: impl Iterator<Item = &'a id::Node>) -> bool {
     others.filter(|node| *node < me).count() < PER_REGION
 }
 
-/// Returns whether `me` is the first representative, which forwards the sums for the rest.
+/// Returns whether `me` is the first representative, which forwards the aggregated reports.
 pub fn is_first<'a>(me: &id::Node, mut others: impl Iterator<Item = &'a id::Node>) -> bool {
     !others.any(|node| node < me)
 }
 
-/// Returns the nodes that are no representatives, of the `others` that the first one sees by name.
+/// Returns the nodes that are not representatives, given the `others` ordered by ID as the first
+/// representative sees them.
 pub fn rest<T>(others: impl Iterator<Item = T>) -> Vec<T> {
     others.skip(PER_REGION - 1).collect()
 }
 
-/// Returns the representatives of each region, of living `members` by name.
+/// Returns the representatives of all regions, given the live `members` ordered by ID.
 pub fn of_regions<'a, T>(members: impl Iterator<Item = (&'a id::Region, T)>) -> Vec<T> {
     let mut by_region: collections::BTreeMap<&id::Region, Vec<T>> = collections::BTreeMap::new();
     for (region, member) in members {
@@ -43,14 +45,15 @@
     by_region.into_values().flatten().collect()
 }
 
-/// Returns the listed nodes of another region to contact at the `turn`-th heartbeat, to find it.
+/// Returns the listed nodes of another region to contact at the `turn`-th heartbeat in order to
+/// discover that region.
 ///
-/// As many as the region's `alive` nodes fall short of its representatives; `silent` are its listed nodes
-/// that are not alive, and each turn continues after the one before.
+/// Fills up the `alive` nodes of the region to [`PER_REGION`] with its listed but not live nodes,
+/// `silent`. Each turn continues where the previous one ended.
 #[must_use]
 pub fn contacts<T: Copy>(alive: usize, silent: &[T], turn: u64) -> Vec<T> {
     let missing = PER_REGION.saturating_sub(alive);
     let start = usize::try_from(turn).unwrap_or(0).wrapping_mul(missing);
-    let turned = (0..missing.min(silent.len())).map(|index| start.wrapping_add(index));
-    turned.map(|index| silent[index % silent.len()]).collect()
+    let indexes = (0..missing.min(silent.len())).map(|index| start.wrapping_add(index));
+    indexes.map(|index| silent[index % silent.len()]).collect()
 }
--- a/crates/steer/src/dispatch/fleet/store_call.rs
+++ b/crates/steer/src/dispatch/fleet/store_call.rs
@@ -1,135 +1,141 @@
-//! Store calls: how long a node waits for the store's answer, and when it calls again after a failure.
+//! Store calls: timeouts of calls to the store, and backoff after failures.
 //!
-//! Every time is a share of [`bound`], which is `Bounds::contact` unless `Bounds::drain` is much shorter. `contact` is
-//! the time after a disruption from which a node must keep its bounds on configurations and leaving upstreams.
-//! A call that began just before the disruption ended may never be answered: a store that was silent drops
-//! it, and an open connection may stay silent. The sum of the longest waits in a row, [`longest_gap`], is below
-//! that bound, so a node that must keep its bounds has had an answer from the store since the disruption.
+//! Every duration is a share of [`bound`], which is `Bounds::contact` unless `Bounds::drain` is
+//! much shorter. `contact` is the time after a disruption from which a node has to meet its bounds
+//! on configurations and leaving upstreams again. A call that began just before the end of the
+//! disruption may never be answered: an unresponsive store drops it, and an open connection may
+//! stay silent. The longest sequence of waits, [`longest_gap`], is shorter than that bound, so a
+//! node that has to meet its bounds has received an answer from the store since the disruption.
 //!
-//! A node that does not watch must learn a change within `Bounds::drain` even where the store stops
-//! answering those that do, so the time until it takes over, [`longest_takeover`], is below that.
+//! A node that does not watch the store must learn of a change within `Bounds::drain` even if the
+//! store stops answering the watchers, so [`longest_takeover`], the time until the node starts to
+//! watch, is shorter than that.
 
 use std::time::Duration;
 
 use model::bounds;
 
-/// Longest time of these waits, as a multiple of `Bounds::drain`.
+/// Upper limit of [`bound`], as a multiple of `Bounds::drain`.
 ///
-/// Not measured; with it the sum of waits in [`longest_takeover`] stays below bounds on leaving upstreams of 2 s and
-/// more, however long `Bounds::contact` is.
-const DRAIN_TIMES: f64 = 1.5;
+/// Keeps [`longest_takeover`] below `Bounds::drain` for values of 2 s and more, regardless of
+/// `Bounds::contact`.
+const MAX_DRAIN_MULTIPLE: f64 = 1.5;
 
-/// Time between two checks whether a node should begin to watch. Not measured.
+/// Interval between checks whether a node should start to watch the store.
 pub const CHECK_PERIOD: Duration = Duration::from_millis(250);
 
-/// Longest time for which a watch that brings nothing may wait, as a share of [`bound`].
+/// Maximum duration of a watch without changes, as a share of [`bound`].
 ///
-/// Measured: docs/incidents/drain-home.md, row "calls to the store end within contact" (all nodes in touch with the
-/// store 1.4 s after a silence, at 121 to 283 more calls on a standard day); other shares were not measured.
+/// With it, all nodes were in contact with the store 1.4 s after it had been silent, at the cost of
+/// 121 to 283 more calls on a standard day; see docs/incidents/drain-home.md, row "calls to the
+/// store end within contact".
 const WATCH_SHARE: f64 = 0.5;
 
-/// Shortest such time, so that a small bound does not turn watches into a storm of calls. Not measured.
+/// Lower limit of that duration, so that a small bound does not cause a storm of calls.
 ///
-/// With it and [`SHORTEST_ANSWER`], the waits in a row stay below bounds of 2 s and more.
-const SHORTEST_WATCH: Duration = Duration::from_millis(500);
+/// With it and [`MIN_ANSWER_TIMEOUT`], consecutive waits stay below bounds of 2 s and more.
+const MIN_WATCH: Duration = Duration::from_millis(500);
 
-/// Time for the answer of a watch beyond its wait, as a share of [`bound`]. Not measured alone.
-const ANSWER_SHARE: f64 = 1.0 / 6.0;
+/// Timeout for the answer to a watch in addition to its duration, as a share of [`bound`].
+const WATCH_ANSWER_SHARE: f64 = 1.0 / 6.0;
 
-/// Shortest time for any answer. Not measured; a slow store (0.24 s) in another region (0.07 s) answers within.
-const SHORTEST_ANSWER: Duration = Duration::from_millis(400);
+/// Minimum timeout for any answer; a slow store (0.24 s) in another region (0.07 s) answers within
+/// it.
+const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for the answer of a call that does not wait for changes, as a share of [`bound`]. Not measured
-/// alone.
+/// Timeout for the answer to a call that does not wait for changes, as a share of [`bound`].
 const CALL_SHARE: f64 = 1.0 / 3.0;
 
-/// Time for the answer of a read of everything, which may be long, as a share of [`bound`]. Not
-/// measured.
+/// Timeout for reading all keys, whose answer may be large, as a share of [`bound`].
 const READ_SHARE: f64 = 0.5;
 
-/// Pause after the first failure, as a share of [`bound`]. Not measured.
+/// Pause after the first failure, as a share of [`bound`].
 const FIRST_PAUSE_SHARE: f64 = 1.0 / 15.0;
 
-/// Longest pause of a node that is among the first to watch the store, as a share of [`bound`]. Not measured.
-const PAUSE_SHARE: f64 = 1.0 / 6.0;
+/// Maximum pause of a node that is among the first to watch the store, as a share of [`bound`].
+const MAX_PAUSE_SHARE: f64 = 1.0 / 6.0;
 
-/// Longest pause of any other node, as a share of [`bound`].
+/// Maximum pause of any other node, as a share of [`bound`].
 ///
-/// Not measured; the first nodes announce changes to the others, and calls are priced, refused ones too.
-const OTHERS_PAUSE_SHARE: f64 = 0.5;
+/// Longer, because the first nodes announce changes to the others, and every call is billed,
+/// including refused ones.
+const OTHERS_MAX_PAUSE_SHARE: f64 = 0.5;
 
-/// Part of a pause that is drawn, on either side, so that nodes that failed together do not call together. Not
-/// measured.
+/// Random variation of a pause in either direction, as a share of it, so that nodes that failed at
+/// the same time do not retry at the same time.
 const JITTER: f64 = 0.5;
 
-/// Returns the bound of which the times of this module are shares.
+/// Returns the duration that the times of this module are shares of.
 #[must_use]
 pub fn bound(bounds: &bounds::Bounds) -> Duration {
-    bounds.contact.min(bounds.drain.mul_f64(DRAIN_TIMES))
+    bounds.contact.min(bounds.drain.mul_f64(MAX_DRAIN_MULTIPLE))
 }
 
-/// Returns the longest time for which a watch may wait.
+/// Returns the maximum duration of a watch.
 #[must_use]
-pub fn watch(contact: Duration) -> Duration {
-    contact.mul_f64(WATCH_SHARE).max(SHORTEST_WATCH)
+pub fn watch(bound: Duration) -> Duration {
+    bound.mul_f64(WATCH_SHARE).max(MIN_WATCH)
 }
 
-/// Returns the longest time for which the first watch after a change may wait, where the watcher waits for
-/// `part` of the usual time, from 0 to 1.
+/// Returns the maximum duration of the first watch after a change, where `part` is the share of the
+/// usual duration that the watcher uses, from 0 to 1.
 #[must_use]
-pub fn watch_after_change(contact: Duration, part: f64) -> Duration {
-    watch(contact).mul_f64(part)
+pub fn watch_after_change(bound: Duration, part: f64) -> Duration {
+    watch(bound).mul_f64(part)
 }
 
-/// Returns the time for the answer of a watch beyond its wait.
+/// Returns the timeout for the answer to a watch, in addition to its duration.
 #[must_use]
-pub fn watch_answer(contact: Duration) -> Duration {
-    contact.mul_f64(ANSWER_SHARE).max(SHORTEST_ANSWER)
+pub fn watch_answer(bound: Duration) -> Duration {
+    bound.mul_f64(WATCH_ANSWER_SHARE).max(MIN_ANSWER_TIMEOUT)
 }
 
-/// Returns the time for the answer of a call that waits for nothing.
+/// Returns the timeout for the answer to a call that does not wait for changes.
 #[must_use]
-pub fn answer(contact: Duration) -> Duration {
-    contact.mul_f64(CALL_SHARE).max(SHORTEST_ANSWER)
+pub fn answer(bound: Duration) -> Duration {
+    bound.mul_f64(CALL_SHARE).max(MIN_ANSWER_TIMEOUT)
 }
 
-/// Returns the time for the answer of a read of everything.
+/// Returns the timeout for reading all keys.
 #[must_use]
-pub fn read(contact: Duration) -> Duration {
-    contact.mul_f64(READ_SHARE).max(SHORTEST_ANSWER)
+pub fn read(bound: Duration) -> Duration {
+    bound.mul_f64(READ_SHARE).max(MIN_ANSWER_TIMEOUT)
 }
 
-/// Returns the longest time without an answer at a node among the first to watch, while the store answers new calls.
+/// Returns the longest time without an answer from the store at a node that is among the first to
+/// watch, while the store answers new calls.
 ///
-/// An unanswered watch and the pause after it, or an unanswered call and the longest pause.
+/// Either an unanswered watch and the pause after it, or an unanswered call and the maximum pause.
 #[must_use]
-pub fn longest_gap(contact: Duration) -> Duration {
-    let most = 1.0 + JITTER;
+pub fn longest_gap(bound: Duration) -> Duration {
+    let max_factor = 1.0 + JITTER;
     let after_watch =
-        watch(contact) + watch_answer(contact) + contact.mul_f64(FIRST_PAUSE_SHARE * most);
-    let after_failure = answer(contact) + contact.mul_f64(PAUSE_SHARE * most);
+        watch(bound) + watch_answer(bound) + bound.mul_f64(FIRST_PAUSE_SHARE * max_factor);
+    let after_failure = answer(bound) + bound.mul_f64(MAX_PAUSE_SHARE * max_factor);
     after_watch.max(after_failure)
 }
 
-/// Returns the longest time until a node that does not watch begins to, once nobody answers the watchers.
+/// Returns the longest time until a node that does not watch the store starts to, once the store no
+/// longer answers the watchers.
 ///
-/// A change arrives just after one that all watchers wait to gather; then the next watch of the last watcher, which gathers
-/// changes for `gather` and then waits for `part` of the usual time, is not answered.
+/// Worst case: a change arrives just after another one for which all watchers delay their next
+/// watch, and the next watch of the last watcher is not answered. That watcher delays its watch by
+/// `gather` and then uses `part` of the usual duration.
 #[must_use]
-pub fn longest_takeover(contact: Duration, gather: Duration, part: f64) -> Duration {
-    gather + watch_after_change(contact, part) + watch_answer(contact) + CHECK_PERIOD
+pub fn longest_takeover(bound: Duration, gather: Duration, part: f64) -> Duration {
+    gather + watch_after_change(bound, part) + watch_answer(bound) + CHECK_PERIOD
 }
 
-/// Whether a node is among the first to watch the store, of the living nodes of its region.
+/// Whether a node is among the first live nodes of its region that should watch the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// It watches as soon as it can.
+    /// The node watches as soon as it can.
     First,
-    /// Others come before it.
+    /// Other nodes take precedence.
     Later,
 }
 
-/// Pauses after failures in a row.
+/// Exponential backoff after consecutive failures.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
     failures: u32,
@@ -138,24 +144,26 @@
 impl Backoff {
     /// Returns whether the latest call failed.
     ///
-    /// The next call then waits for no change, since only an answer at once shows soon that the store is back.
+    /// The next call then does not wait for changes, because only an immediate answer shows quickly
+    /// that the store is available again.
     #[must_use]
     pub fn has_failed(&self) -> bool {
         self.failures > 0
     }
 
-    /// Records that a call was answered.
+    /// Resets the backoff after an answer.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Records a failure; returns the pause after it. `draw` is a uniform number from 0 to 1.
-    pub fn pause(&mut self, contact: Duration, turn: Turn, draw: f64) -> Duration {
+    /// Records a failure and returns the pause after it. `draw` is a uniform random number from 0
+    /// to 1.
+    pub fn pause(&mut self, bound: Duration, turn: Turn, draw: f64) -> Duration {
         let longest = match turn {
-            Turn::First => contact.mul_f64(PAUSE_SHARE),
-            Turn::Later => contact.mul_f64(OTHERS_PAUSE_SHARE),
+            Turn::First => bound.mul_f64(MAX_PAUSE_SHARE),
+            Turn::Later => bound.mul_f64(OTHERS_MAX_PAUSE_SHARE),
         };
-        let doubled = contact.mul_f64(FIRST_PAUSE_SHARE).saturating_mul(1 << self.failures.min(8));
+        let doubled = bound.mul_f64(FIRST_PAUSE_SHARE).saturating_mul(1 << self.failures.min(8));
         self.failures = self.failures.saturating_add(1);
         doubled.min(longest).mul_f64(1.0 - JITTER + 2.0 * JITTER * draw)
     }
--- a/crates/steer/src/dispatch/fleet/watchers.rs
+++ b/crates/steer/src/dispatch/fleet/watchers.rs
@@ -1,8 +1,9 @@
-//! Watchers: the nodes of a region that watch the store; the others learn changes from them.
+//! Watchers: the nodes of a region that watch the store; the others receive changes from them.
 //!
-//! So the store's calls grow with regions and not with nodes. Called before each watch; a node becomes a
-//! watcher as soon as too few nodes before it reach the store. A node reports that it reaches the store only while
-//! it watches and the store answers, so a report is no older than [`store_call::watch`] and the answer's time.
+//! The number of store calls therefore grows with the number of regions, not of nodes. The choice
+//! is made before each watch: a node becomes a watcher as soon as too few nodes with smaller IDs
+//! reach the store. A node reports that it reaches the store only while it watches and the store
+//! answers, so a report is no older than [`store_call::watch`] plus the time for the answer.
 
 use std::time::Duration;
 
@@ -10,104 +11,117 @@
 
 use crate::dispatch::fleet::store_call;
 
-/// Watchers of a region.
+/// Number of watchers per region.
 ///
-/// Measured: docs/incidents/drain-home.md, row "two watchers a region" (calls of a standard day 26 % fewer than with three,
-/// the same rules kept); with one, a region would learn nothing itself while that one is dead and not known to
-/// be. Other counts were not measured.
+/// Two need 26 % fewer calls on a standard day than three and meet the same bounds; see
+/// docs/incidents/drain-home.md, row "two watchers a region". With one, a region would receive no
+/// changes from the store itself while that watcher is dead but not yet detected as such.
 const PER_REGION: usize = 2;
 
-/// Time in which changes gather before the next watch of a region's first watcher, since calls are priced.
+/// Delay of the first watcher between a change and its next watch; batches changes, because calls
+/// are billed.
 ///
-/// Not measured alone (docs/measurements/hundreds.md, row "few calls to the store", has it with other changes). By its period, half of
-/// the calls of 150 ms while entries come and go; a tenth of a second more passes until a change is known.
-const FIRST_GATHERS: Duration = Duration::from_millis(250);
+/// Judging by its length, it halves the calls of a 150 ms delay while entries come and go, and
+/// delays changes by another 0.1 s. See docs/measurements/hundreds.md, row "few calls to the
+/// store", which includes other changes.
+const FIRST_BATCH_DELAY: Duration = Duration::from_millis(250);
 
-/// The same for any other watcher, which is there in case the first is not.
-const OTHERS_GATHER: Duration = Duration::from_millis(400);
+/// The same delay for any other watcher, which is a standby for the first.
+const OTHERS_BATCH_DELAY: Duration = Duration::from_millis(400);
 
-/// Part of a watch's time that the first watch after a change takes, of any watcher but the first.
+/// Duration of the first watch after a change of any watcher but the first, as a share of the usual
+/// duration.
 ///
-/// Measured: docs/incidents/drain-home.md, row "the second watcher's watch after a change is half as long"; less than half,
-/// since it gathers changes for longer.
-const OTHERS_PART: f64 = 0.35;
+/// Less than half, because the batch delay of these watchers is longer; see
+/// docs/incidents/drain-home.md, row "the second watcher's watch after a change is half as long".
+const OTHERS_WATCH_SHARE: f64 = 0.35;
 
-/// Time after its start before a node watches the store; other nodes' heartbeats arrive within it.
+/// Minimum delay between the start of a node and its first watch; heartbeats of other nodes arrive
+/// within it.
 ///
-/// Not measured alone, as [`FIRST_GATHERS`]; without it each node that starts takes itself
-/// for the first, and its watches end with each entry that others write. Below the time on which any bound on a node
-/// that has just started counts.
-const SETTLE: Duration = Duration::from_millis(1_000);
+/// Without it, every starting node considers itself the first, and its watches end with each entry
+/// that others write. Shorter than the time after which bounds apply to a node that has just
+/// started. See docs/measurements/hundreds.md, row "few calls to the store", which includes other
+/// changes.
+const MIN_SETTLE: Duration = Duration::from_millis(1_000);
 
-/// Longest such time, as a share of `Bounds::contact`. Not measured; leaves time for a call and its answer.
-const LONGEST_SETTLE: f64 = 0.6;
+/// Maximum delay, as a share of `Bounds::contact`; leaves time for a call and its answer.
+const MAX_SETTLE_SHARE: f64 = 0.6;
 
-/// Most time beyond [`SETTLE`], drawn, so that nodes that start together do not begin to watch together.
+/// Maximum random addition to [`MIN_SETTLE`], so that nodes that start at the same time do not
+/// start to watch at the same time.
 const SETTLE_SPREAD: Duration = Duration::from_millis(1_500);
 
-/// Returns how long after its start a node waits before it watches. `draw` is a uniform number from 0 to 1.
+/// Returns how long a node waits after its start before it watches the store. `draw` is a uniform
+/// random number from 0 to 1.
 ///
-/// Not at all where no seed says that there are others.
+/// Zero without seeds, which means that there are no other nodes.
 #[must_use]
 pub fn settle(contact: Duration, has_seeds: bool, draw: f64) -> Duration {
     if !has_seeds {
         return Duration::ZERO;
     }
-    // A node is in touch once `contact` has passed, and then must have had an answer.
-    let longest = contact.mul_f64(LONGEST_SETTLE);
-    (SETTLE + SETTLE_SPREAD.mul_f64(draw)).min(longest)
+    // The node must have had an answer from the store once `contact` has passed.
+    let longest = contact.mul_f64(MAX_SETTLE_SHARE);
+    (MIN_SETTLE + SETTLE_SPREAD.mul_f64(draw)).min(longest)
 }
 
-/// Time by which each further node of a region waits longer before it reads everything in a new era of the store: while no node
-/// reached the store, more of them tried than watch, and what one has read the others take from it within this time.
-const READ_TURN: Duration = Duration::from_millis(250);
+/// Additional delay per node of a region before a node reads all keys in a new era of the store.
+///
+/// More nodes than the watchers tried to reach the store while none did; the delay gives them time
+/// to receive the data from the node that read it first.
+const READ_DELAY_STEP: Duration = Duration::from_millis(250);
 
-/// Longest such time, so that a node follows the store soon where those before it do not reach it.
-const LONGEST_READ_TURN: Duration = Duration::from_millis(1_000);
+/// Maximum of that delay, so that a node soon reads the store if the nodes before it do not reach
+/// it.
+const MAX_READ_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Place of a watcher among those of its region.
+/// Position of a watcher among the watchers of its region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place(usize);
 
 impl Place {
-    /// Returns the part of a watch's time that the first watch after a change takes, from 0 to 1.
+    /// Returns the duration of the first watch after a change, as a share of the usual duration
+    /// from 0 to 1.
     ///
-    /// The parts differ, so that watches which began together after a change do not end together. Of those
-    /// that a store no longer answers, one is noticed half a watch earlier, and a node that is still
-    /// served takes over: within the bound on leaving upstreams of 2 s in place of 0.1 s after it (process
-    /// test with three nodes). It costs one call at most for each change that is followed by a calm time.
+    /// The shares differ, so that watches that began together after a change do not end together.
+    /// If the store stops answering them, one fails half a watch earlier, and a node that the store
+    /// still answers takes over within the 2 s bound on leaving upstreams rather than 0.1 s after
+    /// it (process test with three nodes). Costs at most one call per change that is followed by a
+    /// quiet period.
     #[must_use]
     pub fn part_of_watch(self) -> f64 {
-        if self.0 == 0 { 1.0 } else { OTHERS_PART }
+        if self.0 == 0 { 1.0 } else { OTHERS_WATCH_SHARE }
     }
 
-    /// Returns the time in which changes gather before the next watch.
+    /// Returns the delay between a change and the next watch, which batches changes.
     #[must_use]
     pub fn gather(self) -> Duration {
-        if self.0 == 0 { FIRST_GATHERS } else { OTHERS_GATHER }
+        if self.0 == 0 { FIRST_BATCH_DELAY } else { OTHERS_BATCH_DELAY }
     }
 }
 
-/// Returns the place of `me` among the watchers of the store; none when it does not watch.
+/// Returns the position of `me` among the watchers of the store, or `None` if it does not watch.
 ///
-/// `reaching` are the living nodes of its region, but `me`, that reach the store and do not leave.
+/// `reaching` are the other live nodes of its region that reach the store and are not leaving.
 pub fn place<'a>(me: &id::Node, reaching: impl Iterator<Item = &'a id::Node>) -> Option<Place> {
     let before = count_before(me, reaching);
     (before < PER_REGION).then_some(Place(before))
 }
 
-/// Returns how long `me` waits before it reads everything in a new era of the store, so that another node may be first.
+/// Returns how long `me` waits before it reads all keys in a new era of the store, which gives
+/// another node the chance to be first.
 ///
-/// `others` are the living nodes of its region, but `me`, that do not leave.
+/// `others` are the other live nodes of its region that are not leaving.
 pub fn read_turn<'a>(me: &id::Node, others: impl Iterator<Item = &'a id::Node>) -> Duration {
-    let later = count_before(me, others).saturating_sub(PER_REGION - 1);
-    let turns = u32::try_from(later).unwrap_or(u32::MAX);
-    READ_TURN.saturating_mul(turns).min(LONGEST_READ_TURN)
+    let predecessors = count_before(me, others).saturating_sub(PER_REGION - 1);
+    let turns = u32::try_from(predecessors).unwrap_or(u32::MAX);
+    READ_DELAY_STEP.saturating_mul(turns).min(MAX_READ_DELAY)
 }
 
 /// Returns whether `me` is among the first to watch the store while no node reaches it.
 ///
-/// `others` are the living nodes of its region, but `me`, that do not leave.
+/// `others` are the other live nodes of its region that are not leaving.
 pub fn turn<'a>(me: &id::Node, others: impl Iterator<Item = &'a id::Node>) -> store_call::Turn {
     match count_before(me, others) < PER_REGION {
         true => store_call::Turn::First,
