--- a/crates/steer/src/dispatch/quarantine/evidence.rs
+++ b/crates/steer/src/dispatch/quarantine/evidence.rs
@@ -1,94 +1,103 @@
-//! Evidence: whether upstreams crash because of a request, or it was only there.
+//! Evidence: whether a request causes upstreams to crash or was merely in flight when they did.
 //!
-//! Owns the conditions. Relies on the [`record`] of crashes and on [`accident`]. All of them have to hold, since an innocent request
-//! must never be held back, and an upstream that ends takes down all that it runs:
+//! Evaluates the [`record`] of crashes with the help of [`significance`]. A crash interrupts all
+//! requests that the upstream was running, and a harmless request must never be held back, so all
+//! of these conditions must hold:
 //!
-//! 1. Several crashes that followed each other: the request was sent to an upstream after the one before had ended. A hall that
-//!    loses power ends many upstreams at once, which counts once.
-//! 2. At each no other request was in flight that was at nearly as many crashes. Who is sent to the same upstreams as a request
-//!    that crashes them is at some of its crashes, never at more.
-//! 3. So many are no accident, by the time that the request was at upstreams and how many ended without it meanwhile.
+//! 1. There were several consecutive crashes: the request was sent to each upstream after the
+//!    previous one had ended. A power failure of a hall ends many upstreams at once and counts as
+//!    one crash.
+//! 2. At none of these crashes was another request in flight that was in flight at nearly as many
+//!    crashes. A request that is sent to the same upstreams as one that crashes them is in flight
+//!    at some of the crashes of that request, never at more.
+//! 3. The number of crashes is statistically significant, given the time that the request spent at
+//!    upstreams and the number of upstreams that ended without it in that time.
 //!
 //! [`record`]: crate::dispatch::quarantine::record
-//! [`accident`]: crate::dispatch::quarantine::accident
+//! [`significance`]: crate::dispatch::quarantine::significance
 
 use std::time::{Duration, Instant};
 
 use model::fingerprint::{Fingerprint, Scope};
 
-use crate::dispatch::quarantine::accident;
-use crate::dispatch::quarantine::record::{Record, Seen};
+use crate::dispatch::quarantine::record::{Occurrence, Record};
 use crate::dispatch::quarantine::sighting::{Crash, Start};
+use crate::dispatch::quarantine::significance;
 
-/// Crashes that follow each other, at least.
-const LEAST_CRASHES: u32 = 3;
+/// Minimum number of consecutive crashes.
+const MIN_CRASHES: u32 = 3;
 
-/// Crashes that a request must have met more than any other that was there.
-const LEAD: usize = 2;
+/// Number of crashes by which a request must exceed every other request in flight.
+const MIN_LEAD: usize = 2;
 
-/// Chance of an accident below which it is none.
-const ACCIDENT: f64 = 1e-4;
+/// Probability of a coincidence below which the crashes are attributed to the request.
+const SIGNIFICANCE_LEVEL: f64 = 1e-4;
 
-/// Returns the crashes that show that requests of `scope` crash upstreams; none when they do not show it.
+/// Returns the crashes caused by requests of `scope`, or `None` if the evidence is insufficient.
 ///
-/// Crashes after `reported_until` are left out, since other nodes may not have reported yet what was in flight there. `is_held` tells
-/// whether a request is known to crash upstreams: what it met is explained by it.
+/// Crashes after `reported_until` are ignored, because other nodes may not have reported yet which
+/// requests were in flight. `is_held` returns whether a request is known to crash upstreams;
+/// crashes at which such a request was in flight are attributed to it.
 #[must_use]
-pub fn against(
+pub fn crashes_caused_by(
     scope: &Scope,
     record: &Record,
     reported_until: Instant,
     is_held: impl Fn(&Fingerprint) -> bool,
 ) -> Option<Vec<Start>> {
-    // Most requests that were at a crash were at one only, and what follows looks at all others for each.
-    if record.count(scope) < LEAST_CRASHES as usize {
+    // Most requests in flight at a crash were at a single one, and the code below scans all other
+    // requests for each crash.
+    if record.crash_count(scope) < MIN_CRASHES as usize {
         return None;
     }
-    let is_explained = |start: Start| {
+    let has_other_cause = |start: Start| {
         let mut others = record.in_flight(start).filter(|other| !covers(scope, other));
-        others.any(|other| is_held(&other) || is_rival(scope, &other, record))
+        others.any(|other| is_held(&other) || is_alternative_cause(scope, &other, record))
     };
-    let reported = record.seen(scope).filter(|seen| seen.crash.at <= reported_until);
-    let in_turn = in_turn(reported.filter(|seen| !is_explained(seen.crash.start)));
-    let met = u32::try_from(in_turn.len()).unwrap_or(u32::MAX);
-    if met < LEAST_CRASHES {
+    let reported = record.occurrences(scope).filter(|seen| seen.crash.at <= reported_until);
+    let consecutive = consecutive(reported.filter(|seen| !has_other_cause(seen.crash.start)));
+    let observed = u32::try_from(consecutive.len()).unwrap_or(u32::MAX);
+    if observed < MIN_CRASHES {
         return None;
     }
-    let first = in_turn.first()?.sent;
-    let last = in_turn.last()?.crash;
-    let without = |crash: &&Crash| {
+    let first = consecutive.first()?.sent;
+    let last = consecutive.last()?.crash;
+    let is_unrelated = |crash: &&Crash| {
         let is_between = crash.at >= first && crash.at <= last.at;
-        let mut there = record.in_flight(crash.start);
-        let is_other = !there.any(|there| covers(scope, &there) || is_held(&there));
-        crash.service == last.service && is_between && is_other
+        let mut requests = record.in_flight(crash.start);
+        let is_unexplained = !requests.any(|other| covers(scope, &other) || is_held(&other));
+        crash.service == last.service && is_between && is_unexplained
     };
-    let others = u32::try_from(record.crashes().filter(without).count()).unwrap_or(u32::MAX);
-    let expected = expected(record.seen(scope), others, first, last);
-    let is_no_accident = accident::chance(met, expected) < ACCIDENT;
-    is_no_accident.then(|| in_turn.iter().map(|seen| seen.crash.start).collect())
+    let unrelated =
+        u32::try_from(record.crashes().filter(is_unrelated).count()).unwrap_or(u32::MAX);
+    let expected = expected_crashes(record.occurrences(scope), unrelated, first, last);
+    let is_significant = significance::p_value(observed, expected) < SIGNIFICANCE_LEVEL;
+    is_significant.then(|| consecutive.iter().map(|seen| seen.crash.start).collect())
 }
 
-/// Returns whether a request is one of `scope`.
+/// Returns whether `request` belongs to `scope`.
 #[must_use]
 pub fn covers(scope: &Scope, request: &Fingerprint) -> bool {
     let is_caller = scope.caller.is_none_or(|caller| caller == request.caller);
     is_caller && scope.content == request.content
 }
 
-/// Returns whether another request was at nearly as many crashes as those of `scope`, alone or with all of its content.
-fn is_rival(scope: &Scope, other: &Fingerprint, record: &Record) -> bool {
-    let alone = record.count(&Scope::from(*other));
+/// Returns whether the request `other` was in flight at nearly as many crashes as the requests of
+/// `scope`, counted for its caller alone or for all requests with its content.
+fn is_alternative_cause(scope: &Scope, other: &Fingerprint, record: &Record) -> bool {
+    let of_caller = record.crash_count(&Scope::from(*other));
     let of_content = match other.content == scope.content {
         true => 0,
-        false => record.count(&Scope { content: other.content, caller: None }),
+        false => record.crash_count(&Scope { content: other.content, caller: None }),
     };
-    alone.max(of_content) + LEAD > record.count(scope)
+    of_caller.max(of_content) + MIN_LEAD > record.crash_count(scope)
 }
 
-/// Returns crashes of which each ended a send that began after the one before.
-fn in_turn<'a>(seen: impl Iterator<Item = &'a Seen>) -> Vec<Seen> {
-    let mut chosen: Vec<Seen> = Vec::new();
-    for seen in seen {
+/// Returns a subsequence of crashes in which the request was sent after the previous crash each
+/// time.
+fn consecutive<'a>(occurrences: impl Iterator<Item = &'a Occurrence>) -> Vec<Occurrence> {
+    let mut chosen: Vec<Occurrence> = Vec::new();
+    for seen in occurrences {
         if chosen.last().is_none_or(|before| seen.sent >= before.crash.at) {
             chosen.push(*seen);
         }
@@ -96,17 +105,18 @@
     chosen
 }
 
-/// Returns how many crashes a request is to meet by chance in the time that it was at upstreams, where `others` came without it.
-fn expected<'a>(
-    seen: impl Iterator<Item = &'a Seen>,
-    others: u32,
+/// Returns the number of crashes that a request is expected to be in flight at by chance, given the
+/// time it spent at upstreams and the number of `unrelated` crashes.
+fn expected_crashes<'a>(
+    occurrences: impl Iterator<Item = &'a Occurrence>,
+    unrelated: u32,
     first: Instant,
     last: Crash,
 ) -> f64 {
-    let stay = |seen: &Seen| seen.crash.at.saturating_duration_since(seen.sent);
-    let stays: Duration = seen.map(stay).sum();
+    let in_flight = |seen: &Occurrence| seen.crash.at.saturating_duration_since(seen.sent);
+    let total_in_flight: Duration = occurrences.map(in_flight).sum();
     let span = last.at.saturating_duration_since(first);
-    // One more than came, so that a time without others does not prove that there are none.
-    let crashes_each = f64::from(others + 1) / f64::from(last.upstreams.max(1));
-    stays.as_secs_f64() / span.as_secs_f64().max(f64::EPSILON) * crashes_each
+    // Adds one, because a period without unrelated crashes does not prove that there are none.
+    let crashes_per_upstream = f64::from(unrelated + 1) / f64::from(last.upstreams.max(1));
+    total_in_flight.as_secs_f64() / span.as_secs_f64().max(f64::EPSILON) * crashes_per_upstream
 }
--- a/crates/steer/src/dispatch/quarantine/record.rs
+++ b/crates/steer/src/dispatch/quarantine/record.rs
@@ -1,7 +1,7 @@
 //! Record: which requests were in flight at which crashes.
 //!
-//! Owns the sightings of this node and of others, within bounds: a caller that changes one byte each time makes each request a new
-//! one. Decides nothing; [`evidence`] reads it.
+//! Holds the sightings of this node and of other nodes, for evaluation by [`evidence`]. Its size is
+//! bounded, because a caller that changes one byte per request makes every request a new one.
 //!
 //! [`evidence`]: crate::dispatch::quarantine::evidence
 
@@ -12,25 +12,28 @@
 
 use crate::dispatch::quarantine::sighting::{Crash, Sighting, Start};
 
-/// Time for which a sighting counts; a request under which upstreams end may come again after minutes.
-const MEMORY: Duration = Duration::from_secs(600);
+/// Time after which a sighting expires; a request that crashes upstreams may be repeated minutes
+/// later.
+const RETENTION: Duration = Duration::from_secs(600);
 
-/// Contents that are remembered; the one seen longest ago goes first. Some 2 MB when all are full.
-const MOST_CONTENTS: usize = 1_024;
+/// Maximum number of contents; the one with the oldest latest sighting is evicted first. About 2 MB
+/// when all are full.
+const MAX_CONTENTS: usize = 1_024;
 
-/// Sightings of one content that are remembered, the latest.
-const MOST_SIGHTINGS: usize = 24;
+/// Maximum number of sightings per content; the oldest are evicted first.
+const MAX_SIGHTINGS_PER_CONTENT: usize = 24;
 
-/// Crashes that are remembered, the latest.
-const MOST_CRASHES: usize = 1_024;
+/// Maximum number of crashes; the oldest are evicted first.
+const MAX_CRASHES: usize = 1_024;
 
-/// Difference in time below which two reports of one start are about one crash; nodes learn of it at different moments.
-const SAME_CRASH: Duration = Duration::from_secs(1);
+/// Maximum time between two reports of one start that refer to the same crash; nodes detect a crash
+/// at different times.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
 
-/// One crash at which a request of some content was in flight.
+/// A crash at which a request with a given content was in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
-    /// Who sent the request.
+pub struct Occurrence {
+    /// The caller that sent the request.
     pub caller: Caller,
     /// When it was sent to the upstream.
     pub sent: Instant,
@@ -38,153 +41,161 @@
     pub crash: Crash,
 }
 
-/// What is known of the requests of one content.
+/// The crashes and the latest success of the requests with one content.
 #[derive(Clone, Debug, Default)]
-struct Suspect {
-    seen: Vec<Seen>,
+struct ContentRecord {
+    occurrences: Vec<Occurrence>,
     succeeded: Option<Instant>,
 }
 
-/// Requests by the crashes at which they were in flight.
+/// The requests that were in flight at crashes, by content.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    suspects: collections::BTreeMap<Content, Suspect>,
+    contents: collections::BTreeMap<Content, ContentRecord>,
     crashes: collections::BTreeMap<Start, Crash>,
 }
 
 impl Record {
-    /// Returns whether nothing is remembered.
+    /// Returns whether the record is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.suspects.is_empty()
+        self.contents.is_empty()
     }
 
-    /// Returns whether a request of this head was in flight at a crash.
+    /// Returns whether a request with this head was in flight at a crash.
     #[must_use]
     pub fn contains_head(&self, head: Head) -> bool {
-        self.suspects.range(Content::range_of(head)).next().is_some()
+        self.contents.range(Content::range_of(head)).next().is_some()
     }
 
-    /// Returns the contents that are remembered.
+    /// Returns the recorded contents.
     pub fn contents(&self) -> impl Iterator<Item = Content> {
-        self.suspects.keys().copied()
+        self.contents.keys().copied()
     }
 
-    /// Adds a sighting; returns whether it was not known.
+    /// Adds a sighting. Returns whether it is new.
     pub fn add(&mut self, sighting: &Sighting) -> bool {
         let Sighting { fingerprint, crash, sent } = *sighting;
         let start = self.start_of(&crash);
         let crash = *self.crashes.entry(start).or_insert(Crash { start, ..crash });
-        let suspect = self.suspects.entry(fingerprint.content).or_default();
-        let is_same = |s: &Seen| s.caller == fingerprint.caller && s.crash.start == crash.start;
-        if suspect.seen.iter().any(is_same) {
+        let record = self.contents.entry(fingerprint.content).or_default();
+        let is_same =
+            |s: &Occurrence| s.caller == fingerprint.caller && s.crash.start == crash.start;
+        if record.occurrences.iter().any(is_same) {
             return false;
         }
-        suspect.seen.push(Seen { caller: fingerprint.caller, sent, crash });
-        suspect.seen.sort_by_key(|seen| seen.crash.at);
-        let surplus = suspect.seen.len().saturating_sub(MOST_SIGHTINGS);
-        suspect.seen.drain(..surplus);
-        self.bound();
+        record.occurrences.push(Occurrence { caller: fingerprint.caller, sent, crash });
+        record.occurrences.sort_by_key(|seen| seen.crash.at);
+        let surplus = record.occurrences.len().saturating_sub(MAX_SIGHTINGS_PER_CONTENT);
+        record.occurrences.drain(..surplus);
+        self.evict();
         true
     }
 
-    /// Returns by what a crash is known here.
+    /// Returns the key under which a crash is recorded.
     ///
-    /// An upstream may end again before its entry says that it started anew. That is another crash, and has the next number.
+    /// An upstream may end again before its entry in discovery shows the restart. That is a
+    /// separate crash and gets the next free number.
     fn start_of(&self, crash: &Crash) -> Start {
         let mut start = crash.start;
-        while self.crashes.get(&start).is_some_and(|known| !is_same(known, crash)) {
+        while self.crashes.get(&start).is_some_and(|known| !is_same_crash(known, crash)) {
             start = Start(start.0.wrapping_add(1));
         }
         start
     }
 
-    /// Forgets the crashes of a request that ran to its end at `now`; returns whether that changed anything.
+    /// Removes the crashes of a request that ran to its end at `now`. Returns whether the record
+    /// changed.
     pub fn clear(&mut self, fingerprint: &Fingerprint, now: Instant) -> bool {
-        let Some(suspect) = self.suspects.get_mut(&fingerprint.content) else { return false };
-        // What changes nothing must not be forwarded, or nodes would forward it to each other without end.
-        let is_known = |at: Instant| suspect.seen.iter().all(|seen| seen.sent <= at);
-        let is_of_other = |seen: &Seen| seen.caller != fingerprint.caller;
-        if suspect.succeeded.is_some_and(is_known) && suspect.seen.iter().all(is_of_other) {
+        let Some(record) = self.contents.get_mut(&fingerprint.content) else { return false };
+        // A report that changes nothing must not be forwarded, or nodes would forward it in a loop.
+        let is_after_all_sends =
+            |at: Instant| record.occurrences.iter().all(|seen| seen.sent <= at);
+        let is_other_caller = |seen: &Occurrence| seen.caller != fingerprint.caller;
+        if record.succeeded.is_some_and(is_after_all_sends)
+            && record.occurrences.iter().all(is_other_caller)
+        {
             return false;
         }
-        suspect.seen.retain(is_of_other);
-        suspect.succeeded = Some(now);
-        if suspect.seen.is_empty() {
-            self.suspects.remove(&fingerprint.content);
+        record.occurrences.retain(is_other_caller);
+        record.succeeded = Some(now);
+        if record.occurrences.is_empty() {
+            self.contents.remove(&fingerprint.content);
         }
         true
     }
 
-    /// Forgets what is known of the requests of `scope`.
+    /// Removes the sightings of the requests of `scope`.
     pub fn remove(&mut self, scope: &Scope) {
-        let Some(suspect) = self.suspects.get_mut(&scope.content) else { return };
-        suspect.seen.retain(|seen| scope.caller.is_some_and(|caller| seen.caller != caller));
-        if suspect.seen.is_empty() {
-            self.suspects.remove(&scope.content);
+        let Some(record) = self.contents.get_mut(&scope.content) else { return };
+        record.occurrences.retain(|seen| scope.caller.is_some_and(|caller| seen.caller != caller));
+        if record.occurrences.is_empty() {
+            self.contents.remove(&scope.content);
         }
     }
 
-    /// Forgets what is too old.
+    /// Removes expired sightings and crashes.
     pub fn expire(&mut self, now: Instant) {
-        let is_recent = |crash: &Crash| now.saturating_duration_since(crash.at) < MEMORY;
+        let is_recent = |crash: &Crash| now.saturating_duration_since(crash.at) < RETENTION;
         self.crashes.retain(|_, crash| is_recent(crash));
-        self.suspects.retain(|_, suspect| {
-            suspect.seen.retain(|seen| is_recent(&seen.crash));
-            !suspect.seen.is_empty()
+        self.contents.retain(|_, record| {
+            record.occurrences.retain(|seen| is_recent(&seen.crash));
+            !record.occurrences.is_empty()
         });
     }
 
-    /// Returns the crashes at which requests of `scope` were in flight, in their order.
+    /// Returns the crashes at which requests of `scope` were in flight, in chronological order.
     ///
-    /// A content that ran to its end for one caller is not to be held back for all: for any caller only what came since counts.
-    pub fn seen(&self, scope: &Scope) -> impl Iterator<Item = &Seen> {
-        let suspect = self.suspects.get(&scope.content);
-        let succeeded = suspect.and_then(|suspect| suspect.succeeded);
+    /// A content that ran to its end for one caller must not be held back for all callers, so a
+    /// scope without a caller includes only requests sent after the latest success.
+    pub fn occurrences(&self, scope: &Scope) -> impl Iterator<Item = &Occurrence> {
+        let record = self.contents.get(&scope.content);
+        let succeeded = record.and_then(|record| record.succeeded);
         let caller = scope.caller;
-        let counts = move |seen: &&Seen| match caller {
+        let is_included = move |seen: &&Occurrence| match caller {
             Some(caller) => seen.caller == caller,
             None => succeeded.is_none_or(|at| seen.sent > at),
         };
-        suspect.into_iter().flat_map(|suspect| &suspect.seen).filter(counts)
+        record.into_iter().flat_map(|record| &record.occurrences).filter(is_included)
     }
 
-    /// Returns at how many crashes requests of `scope` were in flight.
+    /// Returns the number of crashes at which requests of `scope` were in flight.
     #[must_use]
-    pub fn count(&self, scope: &Scope) -> usize {
+    pub fn crash_count(&self, scope: &Scope) -> usize {
         let starts: collections::BTreeSet<Start> =
-            self.seen(scope).map(|seen| seen.crash.start).collect();
+            self.occurrences(scope).map(|seen| seen.crash.start).collect();
         starts.len()
     }
 
-    /// Returns who sent requests of `content` that were in flight at crashes.
+    /// Returns the callers whose requests with `content` were in flight at crashes.
     #[must_use]
     pub fn callers(&self, content: Content) -> collections::BTreeSet<Caller> {
-        let seen = self.suspects.get(&content).into_iter().flat_map(|suspect| &suspect.seen);
-        seen.map(|seen| seen.caller).collect()
+        let occurrences =
+            self.contents.get(&content).into_iter().flat_map(|record| &record.occurrences);
+        occurrences.map(|seen| seen.caller).collect()
     }
 
-    /// Returns the requests that were in flight at a crash.
+    /// Returns the requests that were in flight at the crash of `start`.
     pub fn in_flight(&self, start: Start) -> impl Iterator<Item = Fingerprint> {
-        self.suspects.iter().flat_map(move |(content, suspect)| {
-            let at_it = suspect.seen.iter().filter(move |seen| seen.crash.start == start);
-            at_it.map(|seen| Fingerprint { content: *content, caller: seen.caller })
+        self.contents.iter().flat_map(move |(content, record)| {
+            let at_crash = record.occurrences.iter().filter(move |seen| seen.crash.start == start);
+            at_crash.map(|seen| Fingerprint { content: *content, caller: seen.caller })
         })
     }
 
-    /// Returns all crashes that are remembered.
+    /// Returns all recorded crashes.
     pub fn crashes(&self) -> impl Iterator<Item = &Crash> {
         self.crashes.values()
     }
 
-    fn bound(&mut self) {
-        let latest = |suspect: &Suspect| suspect.seen.last().map(|seen| seen.crash.at);
-        while self.suspects.len() > MOST_CONTENTS {
-            let oldest = self.suspects.iter().min_by_key(|(_, suspect)| latest(suspect));
+    fn evict(&mut self) {
+        let latest = |record: &ContentRecord| record.occurrences.last().map(|seen| seen.crash.at);
+        while self.contents.len() > MAX_CONTENTS {
+            let oldest = self.contents.iter().min_by_key(|(_, record)| latest(record));
             let Some((&oldest, _)) = oldest else { return };
-            self.suspects.remove(&oldest);
+            self.contents.remove(&oldest);
         }
-        while self.crashes.len() > MOST_CRASHES {
+        while self.crashes.len() > MAX_CRASHES {
             let oldest = self.crashes.values().min_by_key(|crash| crash.at).map(|c| c.start);
             let Some(oldest) = oldest else { return };
             self.crashes.remove(&oldest);
@@ -192,7 +203,7 @@
     }
 }
 
-fn is_same(known: &Crash, reported: &Crash) -> bool {
+fn is_same_crash(known: &Crash, reported: &Crash) -> bool {
     let (earlier, later) = (known.at.min(reported.at), known.at.max(reported.at));
-    later.saturating_duration_since(earlier) < SAME_CRASH
+    later.saturating_duration_since(earlier) < SAME_CRASH_WINDOW
 }
--- a/crates/steer/src/dispatch/quarantine/report.rs
+++ b/crates/steer/src/dispatch/quarantine/report.rs
@@ -1,7 +1,7 @@
-//! Reports of nodes to each other: crashes, and requests that are held back.
+//! Reports that nodes send to each other: crashes, and requests that are held back.
 //!
-//! Owns what is still to be reported, and the bound on it: each sighting is reported once, since the crash of a whole hall shows
-//! many; rulings are repeated.
+//! Holds the pending reports and limits their rate. Each sighting is reported only once, because
+//! the crash of a whole hall produces many; rulings are repeated.
 
 use std::time::Instant;
 
@@ -10,73 +10,74 @@
 use crate::dispatch::quarantine::ruling::Ruling;
 use crate::dispatch::quarantine::sighting::Sighting;
 
-/// Sightings a second that a node reports in the long run.
+/// Sightings per second that a node reports on average; the refill rate of the budget.
 const SIGHTINGS_PER_SECOND: f64 = 60.0;
 
-/// Sightings that a node may report at once after a time without any.
-const MOST_SIGHTINGS: f64 = 120.0;
+/// Maximum burst of sightings after a period without any.
+const MAX_BURST: f64 = 120.0;
 
-/// Where a report comes from.
+/// The origin of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// From this node.
+    /// This node.
     Own,
-    /// From a node of its region.
+    /// Another node of the same region.
     Near,
-    /// From a representative of another region.
+    /// A representative of another region.
     Far,
-    /// From the store, where every node finds it.
+    /// The store, which all nodes read.
     Store,
 }
 
-/// What a node reports.
+/// A report to other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
     /// Requests that were in flight at crashes.
     pub sightings: Vec<Sighting>,
-    /// Requests that ran to their end after they had been at crashes.
+    /// Requests that ran to their end after having been in flight at crashes.
     pub cleared: Vec<Fingerprint>,
-    /// Who is held back, and who no longer is.
+    /// Which requests are held back, and which no longer are.
     pub rulings: Vec<(Scope, Ruling)>,
 }
 
 impl Report {
-    /// Returns whether it is empty.
+    /// Returns whether the report is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.sightings.is_empty() && self.cleared.is_empty() && self.rulings.is_empty()
     }
 
-    fn append(&mut self, more: &Self) {
-        self.sightings.extend(&more.sightings);
-        self.cleared.extend(&more.cleared);
-        self.rulings.extend(&more.rulings);
+    fn append(&mut self, other: &Self) {
+        self.sightings.extend(&other.sightings);
+        self.cleared.extend(&other.cleared);
+        self.rulings.extend(&other.rulings);
     }
 }
 
-/// What is to be reported, and to which nodes.
+/// The pending reports, by recipients.
 #[derive(Clone, Debug)]
 pub struct Outbox {
     near: Report,
     far: Report,
-    room: f64,
+    budget: f64,
     at: Instant,
 }
 
 impl Outbox {
-    /// Makes an empty one.
+    /// Creates an empty outbox.
     #[must_use]
     pub fn new(now: Instant) -> Self {
-        Self { near: Report::default(), far: Report::default(), room: MOST_SIGHTINGS, at: now }
+        Self { near: Report::default(), far: Report::default(), budget: MAX_BURST, at: now }
     }
 
-    /// Returns whether it is empty.
+    /// Returns whether no reports are pending.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.near.is_empty() && self.far.is_empty()
     }
 
-    /// Adds what is new to this node, for the nodes that its `source` did not report it to.
+    /// Adds a report that is new to this node, for the recipients that `source` does not report to
+    /// itself.
     pub fn add(&mut self, report: &Report, source: Source) {
         if matches!(source, Source::Own | Source::Far) {
             self.near.append(report);
@@ -86,27 +87,32 @@
         }
     }
 
-    /// Takes what is to be reported to the nodes of this region and to the representatives of others.
+    /// Takes the reports for the nodes of this region and for the representatives of other regions.
     ///
-    /// Sightings beyond the bound are dropped, and those of requests that were at the fewest crashes first, which `count` returns.
-    pub fn take(&mut self, now: Instant, count: impl Fn(&Sighting) -> usize) -> (Report, Report) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.room = (self.room + passed * SIGHTINGS_PER_SECOND).min(MOST_SIGHTINGS);
+    /// Sightings that exceed the budget are dropped, starting with those of requests that were in
+    /// flight at the fewest crashes. `crash_count` returns that number.
+    pub fn take(
+        &mut self,
+        now: Instant,
+        crash_count: impl Fn(&Sighting) -> usize,
+    ) -> (Report, Report) {
+        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
+        self.budget = (self.budget + elapsed * SIGHTINGS_PER_SECOND).min(MAX_BURST);
         self.at = now;
         let (mut near, mut far) = (std::mem::take(&mut self.near), std::mem::take(&mut self.far));
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
-            reason = "it is between 0 and a constant"
+            reason = "between 0 and a constant"
         )]
-        let most = self.room as usize;
+        let limit = self.budget as usize;
         for report in [&mut near, &mut far] {
-            report.sightings.sort_by_key(|sighting| std::cmp::Reverse(count(sighting)));
-            report.sightings.truncate(most);
+            report.sightings.sort_by_key(|sighting| std::cmp::Reverse(crash_count(sighting)));
+            report.sightings.truncate(limit);
         }
         #[expect(clippy::cast_precision_loss, reason = "some dozens")]
         let reported = near.sightings.len().max(far.sightings.len()) as f64;
-        self.room -= reported;
+        self.budget -= reported;
         (near, far)
     }
 }
--- a/crates/steer/src/dispatch/quarantine/ruling.rs
+++ b/crates/steer/src/dispatch/quarantine/ruling.rs
@@ -1,53 +1,58 @@
 //! Rulings: which requests are held back, since when, and until when.
 //!
-//! Owns the rulings in force and those that were lifted, within bounds. The one with the greater number holds, so that what an
-//! operator lifted is not restored by the report of a node that does not know of it yet.
+//! Holds the rulings in force and those that were released; their number is bounded. The ruling
+//! with the greater number wins, so that a request released by an operator is not held back again
+//! because of a report from a node that has not received the release yet.
 
 use std::collections;
 use std::time::{Duration, Instant};
 
 use model::fingerprint::{Content, Fingerprint, Head, Scope};
 
-/// Time without such a request after which it is no longer held back.
-const QUIET: Duration = Duration::from_secs(600);
+/// Time without a matching request after which a ruling expires.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Time for which it is remembered after that: one more crash is enough to hold it back again.
-const REMEMBERED: Duration = Duration::from_secs(24 * 3_600);
+/// Time for which an expired ruling is kept; in that time, a single crash is enough to hold the
+/// requests back again.
+const EXPIRED_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
-/// Rulings that are kept; the one that was not asked for the longest goes first.
-const MOST_RULINGS: usize = 256;
+/// Maximum number of rulings; the one whose latest matching request is the oldest is evicted first.
+const MAX_RULINGS: usize = 256;
 
-/// Whether requests are held back.
+/// A decision on whether the requests of a scope are held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ruling {
-    /// Grows with each decision on the same requests; milliseconds since 1970 where nothing was decided before.
+    /// Version of the ruling, which increases with each decision on the same requests: the time of
+    /// the decision in milliseconds since the Unix epoch, or more if that is needed to increase it.
     pub number: u64,
-    /// Whether they are held back; else they were, and are no longer.
+    /// Whether the requests are held back; if false, they were released.
     pub is_held: bool,
-    /// Crashes that showed it.
+    /// Number of crashes that led to the decision.
     pub crashes: u32,
-    /// When it was decided.
+    /// When the decision was made.
     pub since: Instant,
-    /// When such a request last came, at any node.
+    /// When a matching request last arrived, at any node.
     pub asked: Instant,
 }
 
 impl Ruling {
-    /// Returns the time for which requests are still held back if none comes; none when they are not.
+    /// Returns how long requests remain held back if no more of them arrive, or `None` if they are
+    /// not held back.
     #[must_use]
     pub fn left(&self, now: Instant) -> Option<Duration> {
-        let left = QUIET.checked_sub(now.saturating_duration_since(self.asked))?;
+        let left = IDLE_TIMEOUT.checked_sub(now.saturating_duration_since(self.asked))?;
         (self.is_held && !left.is_zero()).then_some(left)
     }
 
-    /// Returns whether it is of no more use: no such request has come for long, and every node knows that it was lifted.
+    /// Returns whether the ruling is obsolete: no matching request has arrived for a long time, and
+    /// all nodes know if it was released.
     #[must_use]
     pub fn is_over(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.asked) >= QUIET
+        now.saturating_duration_since(self.asked) >= IDLE_TIMEOUT
     }
 }
 
-/// Rulings by the requests that they are about.
+/// Rulings by scope.
 #[derive(Clone, Debug, Default)]
 pub struct Rulings(collections::BTreeMap<Scope, Ruling>);
 
@@ -58,7 +63,7 @@
         self.0.is_empty()
     }
 
-    /// Returns whether there is one on a request of this head.
+    /// Returns whether there is a ruling on a request with this head.
     #[must_use]
     pub fn contains_head(&self, head: Head) -> bool {
         let contents = Content::range_of(head);
@@ -66,12 +71,13 @@
         self.0.range(first..).next().is_some_and(|(scope, _)| contents.contains(&scope.content))
     }
 
-    /// Returns the ruling that holds a request back, if one does.
+    /// Returns the ruling that holds `request` back, if any.
     #[must_use]
-    pub fn holding(&self, request: &Fingerprint, now: Instant) -> Option<(Scope, Ruling)> {
+    pub fn in_force_for(&self, request: &Fingerprint, now: Instant) -> Option<(Scope, Ruling)> {
         let scopes = scopes_of(request);
-        let mut known = scopes.into_iter().filter_map(|scope| Some((scope, *self.0.get(&scope)?)));
-        known.find(|(_, ruling)| ruling.left(now).is_some())
+        let mut rulings =
+            scopes.into_iter().filter_map(|scope| Some((scope, *self.0.get(&scope)?)));
+        rulings.find(|(_, ruling)| ruling.left(now).is_some())
     }
 
     /// Returns the ruling on the requests of `scope`.
@@ -85,19 +91,19 @@
         self.0.iter()
     }
 
-    /// Returns the rulings that hold requests back.
+    /// Returns the rulings in force.
     pub fn in_force(&self, now: Instant) -> impl Iterator<Item = (&Scope, &Ruling)> {
         self.0.iter().filter(move |(_, ruling)| ruling.left(now).is_some())
     }
 
-    /// Records that a request came that is held back.
-    pub fn asked(&mut self, scope: &Scope, now: Instant) {
+    /// Records the arrival of a request that is held back.
+    pub fn record_request(&mut self, scope: &Scope, now: Instant) {
         if let Some(ruling) = self.0.get_mut(scope) {
             ruling.asked = now;
         }
     }
 
-    /// Records a decision of this node at the time of day `unix_millis`; returns it.
+    /// Records and returns a decision made by this node at the wall-clock time `unix_millis`.
     pub fn decide(
         &mut self,
         scope: Scope,
@@ -106,19 +112,20 @@
         unix_millis: u64,
         now: Instant,
     ) -> Ruling {
-        let before = self.0.get(&scope).map_or(0, |ruling| ruling.number);
-        let number = unix_millis.max(before + 1);
+        let previous = self.0.get(&scope).map_or(0, |ruling| ruling.number);
+        let number = unix_millis.max(previous + 1);
         let ruling = Ruling { number, is_held, crashes, since: now, asked: now };
         self.0.insert(scope, ruling);
-        self.bound();
+        self.evict();
         ruling
     }
 
-    /// Applies the decision of another node; returns whether that changed which requests are held back.
+    /// Applies the decision of another node. Returns whether it changed which requests are held
+    /// back.
     pub fn merge(&mut self, scope: Scope, reported: Ruling, now: Instant) -> bool {
         let Some(known) = self.0.get_mut(&scope) else {
             self.0.insert(scope, reported);
-            self.bound();
+            self.evict();
             return reported.left(now).is_some();
         };
         known.asked = known.asked.max(reported.asked);
@@ -130,30 +137,32 @@
         known.left(now).is_some() != was_held
     }
 
-    /// Holds a request back again that was held back before, since an upstream crashed under it; returns the ruling.
-    pub fn hold_again(
+    /// Holds a request with an expired ruling back again after another crash. Returns the new
+    /// ruling, or `None` if there is no expired ruling.
+    pub fn reinstate(
         &mut self,
         request: &Fingerprint,
         unix_millis: u64,
         now: Instant,
     ) -> Option<(Scope, Ruling)> {
         let mut scopes = scopes_of(request).into_iter();
-        let lapsed = |scope: &Scope| {
+        let is_expired = |scope: &Scope| {
             self.0.get(scope).is_some_and(|ruling| ruling.is_held && ruling.left(now).is_none())
         };
-        let scope = scopes.find(lapsed)?;
+        let scope = scopes.find(is_expired)?;
         let crashes = self.0.get(&scope)?.crashes.saturating_add(1);
         Some((scope, self.decide(scope, true, crashes, unix_millis, now)))
     }
 
-    /// Forgets what is too old.
+    /// Removes rulings whose retention time has passed.
     pub fn expire(&mut self, now: Instant) {
-        let is_recent = |r: &Ruling| now.saturating_duration_since(r.asked) < QUIET + REMEMBERED;
-        self.0.retain(|_, ruling| is_recent(ruling));
+        let is_retained =
+            |r: &Ruling| now.saturating_duration_since(r.asked) < IDLE_TIMEOUT + EXPIRED_RETENTION;
+        self.0.retain(|_, ruling| is_retained(ruling));
     }
 
-    fn bound(&mut self) {
-        while self.0.len() > MOST_RULINGS {
+    fn evict(&mut self) {
+        while self.0.len() > MAX_RULINGS {
             let oldest = self.0.iter().min_by_key(|(_, ruling)| ruling.asked);
             let Some((&oldest, _)) = oldest else { return };
             self.0.remove(&oldest);
@@ -161,7 +170,7 @@
     }
 }
 
-/// Returns the scopes that a request belongs to.
+/// Returns the scopes that contain `request`.
 fn scopes_of(request: &Fingerprint) -> [Scope; 2] {
     [Scope::from(*request), Scope { content: request.content, caller: None }]
 }
--- a/crates/steer/src/dispatch/quarantine/sighting.rs
+++ b/crates/steer/src/dispatch/quarantine/sighting.rs
@@ -1,4 +1,4 @@
-//! Sightings: a request that was in flight at an upstream when it crashed.
+//! Sightings: requests that were in flight at an upstream when it crashed.
 
 use std::time::Instant;
 
@@ -7,19 +7,19 @@
 use model::id;
 use xxhash_rust::xxh3;
 
-/// One start of an upstream, by a hash that is the same at every node.
+/// One start of an upstream, identified by a hash that is the same at every node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Start(pub u64);
 
 impl Start {
-    /// Returns the start of the upstream that `entry` lists.
+    /// Returns the start of the upstream listed as `entry`.
     #[must_use]
     pub fn of(entry: &discovery::Entry) -> Self {
         Self(xxh3::xxh3_64_with_seed(entry.id.as_str().as_bytes(), entry.born))
     }
 }
 
-/// A service, by a hash that is the same at every node.
+/// A service, identified by a hash that is the same at every node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Service(pub u32);
 
@@ -32,23 +32,23 @@
     }
 }
 
-/// The end of one start of an upstream, without a sign before it.
+/// A crash: an upstream ended without having announced it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// Which start ended.
+    /// The start that ended.
     pub start: Start,
-    /// The upstream's service.
+    /// The service of the upstream.
     pub service: Service,
-    /// Upstreams of that service that could be sent requests then.
+    /// Number of upstreams of the service that were available at that time.
     pub upstreams: u32,
-    /// When it ended.
+    /// When the upstream ended.
     pub at: Instant,
 }
 
 /// A request that was in flight at an upstream when it crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sighting {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: fingerprint::Fingerprint,
     /// The crash.
     pub crash: Crash,
--- a/crates/steer/src/dispatch/quarantine/significance.rs
+++ b/crates/steer/src/dispatch/quarantine/significance.rs
@@ -1,20 +1,22 @@
-//! Accident: how likely a request met so many crashes by chance.
+//! Statistical significance: how likely it is that a request was in flight at several crashes by
+//! chance.
 //!
-//! Owns the arithmetic only. Called by [`evidence`], because in a time in which upstreams end for other reasons an innocent request
-//! meets several crashes in a row: it is in flight at one, and is sent again to another that ends too.
+//! Used by [`evidence`]: while upstreams end for other reasons, a harmless request can be in flight
+//! at several crashes in a row, because it is retried at another upstream that ends as well.
 //!
 //! [`evidence`]: crate::dispatch::quarantine::evidence
 
-/// Returns the chance that a request meets `met` crashes in a time in which `expected` are to be expected, where crashes
-/// come independently of it.
+/// Returns the probability that a request is in flight at `observed` or more crashes when
+/// `expected` are expected and crashes are independent of the request.
 ///
-/// The times until independent crashes are exponentially distributed, so the time until so many follows the Erlang
-/// distribution, whose distribution function this is.
+/// The times between independent crashes are exponentially distributed, so the time until the
+/// `observed`-th crash follows the Erlang distribution. This is its cumulative distribution
+/// function.
 #[must_use]
-pub fn chance(met: u32, expected: f64) -> f64 {
+pub fn p_value(observed: u32, expected: f64) -> f64 {
     let mut term = (-expected).exp();
     let mut fewer = 0.0;
-    for crashes in 0..met {
+    for crashes in 0..observed {
         fewer += term;
         term *= expected / f64::from(crashes + 1);
     }
--- a/crates/steer/tests/quarantine/rules.rs
+++ b/crates/steer/tests/quarantine/rules.rs
@@ -4,9 +4,9 @@
 
 use model::fingerprint::Fingerprint;
 use steer::dispatch::quarantine::Quarantine;
-use steer::dispatch::quarantine::accident;
 use steer::dispatch::quarantine::report::Source;
 use steer::dispatch::quarantine::sighting::{Crash, Service, Sighting};
+use steer::dispatch::quarantine::significance;
 
 use crate::fleet::{fingerprint, start_of};
 
@@ -227,8 +227,8 @@
 fn the_chance_of_an_accident() {
     let is_about = |chance: f64, wanted: f64| (chance / wanted - 1.0).abs() < 0.01;
     // Some crash where one is expected: 1 - 1/e.
-    assert!(is_about(accident::chance(1, 1.0), 0.632));
-    assert!(is_about(accident::chance(3, 0.1), 1.547e-4));
-    assert!(is_about(accident::chance(4, 0.1), 3.847e-6));
-    assert!(is_about(accident::chance(3, 20.0), 1.0));
+    assert!(is_about(significance::p_value(1, 1.0), 0.632));
+    assert!(is_about(significance::p_value(3, 0.1), 1.547e-4));
+    assert!(is_about(significance::p_value(4, 0.1), 3.847e-6));
+    assert!(is_about(significance::p_value(3, 20.0), 1.0));
 }
