--- a/crates/steer/tests/gateway_fleet.rs
+++ b/crates/steer/tests/gateway_fleet.rs
@@ -1,4 +1,4 @@
-//! What gateways do for each other and for callers: who watches, announces, is asked, named, or stops.
+//! Tests of the roles and timing of the gateways of a fleet.
 
 use std::net;
 use std::time::{Duration, Instant};
@@ -20,12 +20,12 @@
     let reaching = names(10..30);
     assert!(watchers::place(&id::Node::new("n-011"), reaching.iter()).is_some());
     assert!(watchers::place(&id::Node::new("n-012"), reaching.iter()).is_none());
-    // With nobody before it that reaches the store, any node watches.
+    // Without another node that reaches the store, any node watches.
     assert!(watchers::place(&id::Node::new("n-029"), [].iter()).is_some());
 }
 
 #[test]
-fn six_nodes_of_a_region_represent_it_and_the_first_forwards_for_the_rest() {
+fn the_first_six_nodes_are_representatives_and_the_first_forwards_to_the_rest() {
     let others = names(10..30);
     assert!(representatives::contains(&id::Node::new("n-015"), others.iter()));
     assert!(!representatives::contains(&id::Node::new("n-016"), others.iter()));
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn changes_from_outside_a_region_and_in_small_ones_are_announced_at_once() {
-    let never = |_| -> usize { panic!("no draw is needed") };
+fn changes_from_other_regions_and_in_small_regions_are_announced_immediately() {
+    let never = |_| -> usize { panic!("no random number is needed") };
     assert!(announcement::is_immediate(false, 400, never));
     assert!(announcement::is_immediate(true, 20, never));
     assert!(announcement::is_immediate(true, 400, |nodes| nodes - 381));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn periods_grow_with_the_region_and_heartbeats_are_bounded() {
+fn intervals_grow_with_the_region_and_heartbeat_intervals_are_bounded() {
     let millis = Duration::from_millis;
     let heartbeats = [10, 50, 75, 400].map(gossip::heartbeat);
     assert_eq!(heartbeats, [millis(500), millis(500), millis(750), millis(1_000)]);
@@ -63,22 +63,22 @@
 }
 
 #[test]
-fn a_watcher_waits_for_the_store_before_it_asks_a_node() {
-    let standing = catch_up::Standing { is_complete: true, is_store_reached: true };
+fn a_lagging_watcher_waits_for_the_store_before_it_asks_a_node() {
+    let in_contact = catch_up::Standing { is_complete: true, is_store_reached: true };
     let empty = catch_up::Standing { is_complete: false, is_store_reached: false };
     let (early, late) = (Duration::from_millis(699), Duration::from_millis(700));
-    let turned_away = catch_up::Standing { is_complete: true, is_store_reached: false };
-    assert!(!catch_up::is_due(standing, early) && catch_up::is_due(standing, late));
-    assert!(catch_up::is_due(turned_away, early) && catch_up::is_due(empty, early));
-    assert_eq!(catch_up::sources(1, 1, standing), catch_up::Sources::Near);
+    let unreachable = catch_up::Standing { is_complete: true, is_store_reached: false };
+    assert!(!catch_up::is_due(in_contact, early) && catch_up::is_due(in_contact, late));
+    assert!(catch_up::is_due(unreachable, early) && catch_up::is_due(empty, early));
+    assert_eq!(catch_up::sources(1, 1, in_contact), catch_up::Sources::Near);
     assert_eq!(catch_up::sources(0, 1, empty), catch_up::Sources::Far);
     assert_eq!(catch_up::sources(0, 0, empty), catch_up::Sources::Seeds);
-    // Nobody is ahead, so the far nodes to ask are none.
-    assert_eq!(catch_up::sources(0, 0, standing), catch_up::Sources::Far);
+    // No node has a newer revision, so the set of far nodes is empty.
+    assert_eq!(catch_up::sources(0, 0, in_contact), catch_up::Sources::Far);
 }
 
 #[test]
-fn another_node_is_asked_beside_one_that_does_not_answer() {
+fn a_hedged_request_is_sent_when_a_node_does_not_answer() {
     let (early, late) = (Duration::from_millis(399), Duration::from_millis(400));
     assert!(catch_up::may_ask(0, Duration::ZERO));
     assert!(!catch_up::may_ask(1, early) && catch_up::may_ask(1, late));
@@ -87,13 +87,16 @@
 }
 
 #[test]
-fn a_look_up_prefers_the_callers_region_then_living_then_listed_homes() {
+fn a_look_up_prefers_the_region_of_the_caller_then_live_then_listed_home_nodes() {
     let regions = ["north", "south", "west"].map(id::Region::new);
     let address = |port| net::SocketAddr::from(([127, 0, 0, 1], port));
     let name = id::Node::new("n");
-    let said = active_set::Node { name: &name, capacity: 0, requests: 0 };
-    let node =
-        |region, port| lookup::Node { region: &regions[region], callers: address(port), said };
+    let report = active_set::Node { name: &name, capacity: 0, requests: 0 };
+    let node = |region, port| lookup::Node {
+        region: &regions[region],
+        callers: address(port),
+        said: report,
+    };
     let serving = [node(0, 1), node(1, 2)];
     let find = |region: usize, homes: &[id::Region]| {
         lookup::addresses(&regions[region], homes, &serving, [node(2, 3)].into_iter())
@@ -106,7 +109,7 @@
 }
 
 #[test]
-fn a_planned_stop_serves_on_then_closes_then_ends() {
+fn a_planned_stop_serves_then_closes_connections_then_ends() {
     let step = |millis, connections, requests| {
         stop::step(Duration::from_millis(millis), GRACE, stop::Open { connections, requests })
     };
@@ -120,7 +123,8 @@
     assert_eq!(step(5_850, 2, 0), stop::Step::End { is_done: true });
 }
 
-/// Returns those of `capacities` that callers are told to use, where each node takes `requests` a second.
+/// Returns the active set of nodes with these `capacities`, each of which handles `requests` per
+/// second.
 fn active(capacities: &[u32], requests: u32) -> Vec<(id::Node, u32)> {
     let names = names(0..capacities.len());
     let nodes = names.into_iter().zip(capacities.iter().copied()).collect();
@@ -132,29 +136,31 @@
 }
 
 #[test]
-fn a_small_region_names_all_its_nodes_and_a_large_one_the_strongest() {
+fn a_small_region_returns_all_nodes_and_a_large_one_those_with_the_highest_capacity() {
     assert_eq!(active(&[100; 9], 0).len(), 9);
-    // Nine of half a core hold a third of the capacity beside 89 of a tenth.
+    // Nine nodes with half a core have a third of the capacity; the other 89 have a tenth of a core
+    // each.
     let capacities: Vec<u32> = (0..98).map(|n| if n % 11 == 0 { 500 } else { 100 }).collect();
-    let named = active(&capacities, 0);
-    assert_eq!(named.iter().map(|(_, capacity)| *capacity).collect::<Vec<_>>(), [500; 9]);
+    let selected = active(&capacities, 0);
+    assert_eq!(selected.iter().map(|(_, capacity)| *capacity).collect::<Vec<_>>(), [500; 9]);
     assert_eq!(active(&[100; 90], 0).len(), 30);
     assert_eq!(active(&[100; 300], 0).len(), 64);
 }
 
 #[test]
-fn a_region_names_as_many_nodes_as_its_requests_call_for() {
+fn the_active_set_grows_with_the_request_rate() {
     let capacities: Vec<u32> = (0..98).map(|n| if n % 11 == 0 { 500 } else { 100 }).collect();
-    // 36 a second at each of 98 are 392 at each of nine, which half a core bears; 40 are too many for nine.
+    // 36 requests per second at each of 98 nodes are 392 at each of nine, which half a core
+    // handles; with 40, nine nodes are not enough.
     assert_eq!(active(&capacities, 36).len(), 9);
-    let named = active(&capacities, 40);
-    assert_eq!(named.len(), 49);
-    // More than all together bear: as many as callers take.
+    let selected = active(&capacities, 40);
+    assert_eq!(selected.len(), 49);
+    // More than all nodes can handle: the maximum that callers use.
     assert_eq!(active(&capacities, 200).len(), 64);
 }
 
 #[test]
-fn nodes_choose_alike_in_whatever_order_they_know_each_other() {
+fn the_active_set_does_not_depend_on_the_order_of_the_members() {
     let mut nodes: Vec<(id::Node, u32)> =
         names(0..40).into_iter().zip([100, 200, 100, 100].into_iter().cycle()).collect();
     let select = |nodes: &[(id::Node, u32)]| {
@@ -164,19 +170,19 @@
             requests: 0,
         })
     };
-    let one = select(&nodes);
+    let selected = select(&nodes);
     nodes.reverse();
-    assert_eq!(select(&nodes), one);
-    assert!(one.len() >= 9 && one.iter().take(9).all(|(_, capacity)| *capacity == 200));
+    assert_eq!(select(&nodes), selected);
+    assert!(selected.len() >= 9 && selected.iter().take(9).all(|(_, capacity)| *capacity == 200));
 }
 
 #[test]
-fn a_request_rate_rises_at_once_and_falls_slowly() {
-    let began = Instant::now();
-    let at = |millis| began + Duration::from_millis(millis);
-    let mut rate = request_rate::Rate::new(began);
+fn a_request_rate_rises_immediately_and_decays_slowly() {
+    let started = Instant::now();
+    let at = |millis| started + Duration::from_millis(millis);
+    let mut rate = request_rate::Rate::new(started);
     assert_eq!(rate.update(100, at(1_000)), 100);
-    // Too soon to count again.
+    // Too soon for another sample.
     assert_eq!(rate.update(500, at(1_100)), 100);
     assert_eq!(rate.update(500, at(2_000)), 400);
     let later = rate.update(500, at(3_000));
@@ -185,7 +191,7 @@
 }
 
 #[test]
-fn heartbeats_go_to_every_node_a_few_at_a_time_and_begin_with_another_each_turn() {
+fn heartbeats_are_sent_to_all_nodes_in_bursts_that_start_at_a_different_node_each_turn() {
     let nodes: Vec<usize> = (0..98).collect();
     let mut firsts = std::collections::BTreeSet::new();
     for turn in 0..49 {
--- a/crates/steer/tests/quarantine/fleet.rs
+++ b/crates/steer/tests/quarantine/fleet.rs
@@ -1,6 +1,8 @@
-//! A fleet of nodes and upstreams in simulated time, with requests that crash upstreams and requests that do not.
+//! Simulation of a fleet of nodes and upstreams, with requests that crash upstreams and requests
+//! that do not.
 //!
-//! Owns the truth: who crashed what, and who was refused. Nodes hear of each other by news that is delayed and may be lost.
+//! Counts the crashes and the refused requests. Nodes exchange reports in datagrams that are
+//! delayed and may be lost.
 
 use std::net;
 use std::time::{Duration, Instant};
@@ -12,90 +14,91 @@
 use steer::dispatch::quarantine::report::{Report, Source};
 use steer::dispatch::quarantine::sighting::{Crash, Service, Sighting, Start};
 
-/// Step of the simulation.
+/// Time step of the simulation.
 pub const STEP: Duration = Duration::from_millis(5);
 
-/// Time after the third crash from which a request may reach upstreams three times more.
+/// Time after the third crash of a request from which sends of the request count as late.
 pub const CONTACT: Duration = Duration::from_secs(3);
 
-/// Time in which a node finds that an address refuses connections.
-const CHECK: Duration = Duration::from_millis(15);
+/// Time until a node detects that an address refuses connections.
+const DETECTION_TIME: Duration = Duration::from_millis(15);
 
-/// Regions of the nodes.
+/// Number of regions.
 const REGIONS: usize = 2;
 
-/// Tries of a visit.
-const TRIES: usize = 2;
+/// Maximum number of attempts of a node per visit.
+const MAX_ATTEMPTS: usize = 2;
 
-/// Visits of a caller, the first one included.
-const VISITS: usize = 2;
+/// Maximum number of visits of a caller, including the first one.
+const MAX_VISITS: usize = 2;
 
-/// What goes on in a fleet.
+/// The load and the faults of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Decides all that is drawn.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Upstreams of the one service.
+    /// Number of upstreams; all belong to one service.
     pub upstreams: usize,
-    /// Requests that crash upstreams, and how many of each come a second, from as many callers.
-    pub deadly: Vec<(f64, u32)>,
-    /// Requests that crash nothing a second, each of a caller of its own.
+    /// Requests that crash upstreams: requests per second and number of callers of each.
+    pub poison: Vec<(f64, u32)>,
+    /// Harmless requests per second, each from a different caller.
     pub innocent: f64,
-    /// Requests that crash nothing a second, all of one caller and one content.
+    /// Harmless requests per second, all from one caller and with one content.
     pub polled: f64,
-    /// Upstreams that end together now and then, by other causes: when, and how many.
-    pub ends: Vec<(Duration, usize)>,
-    /// Upstreams that end one after the other for other causes, all in turn: from when on, and with which pause.
-    pub rolling: Option<(Duration, Duration)>,
-    /// Share of the datagrams that are lost.
+    /// Outages of several upstreams at once for other reasons: time and number of upstreams.
+    pub outages: Vec<(Duration, usize)>,
+    /// Restart of all upstreams, one after the other: start time and interval.
+    pub rolling_restart: Option<(Duration, Duration)>,
+    /// Share of datagrams that are lost.
     pub lost: f64,
-    /// Nodes that hear none of the others and are heard by none, until then.
-    pub cut: Option<(usize, Duration)>,
-    /// When a node starts anew, without memory.
-    pub replaced: Option<(usize, Duration)>,
+    /// A node that is partitioned from all others until the given time.
+    pub partitioned: Option<(usize, Duration)>,
+    /// A node that restarts without state at the given time.
+    pub restarted: Option<(usize, Duration)>,
 }
 
 impl Plan {
-    /// A fleet in which nothing happens.
+    /// Returns a plan without poison requests and without faults.
     pub fn quiet(seed: u64) -> Self {
         Self {
             seed,
             nodes: 6,
             upstreams: 20,
-            deadly: Vec::new(),
+            poison: Vec::new(),
             innocent: 60.0,
             polled: 10.0,
-            ends: Vec::new(),
-            rolling: None,
+            outages: Vec::new(),
+            rolling_restart: None,
             lost: 0.0,
-            cut: None,
-            replaced: None,
+            partitioned: None,
+            restarted: None,
         }
     }
 }
 
-/// What came of a plan.
+/// The counters of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Crashes by each deadly request.
+    /// Number of crashes caused by each poison request.
     pub crashes: Vec<u32>,
-    /// When the third crash by each was.
-    pub third: Vec<Option<Instant>>,
-    /// Sends of each later than contact after that, by nodes that were in touch for as long.
-    pub later: Vec<u32>,
-    /// Refusals of each.
+    /// Time of the third crash caused by each poison request.
+    pub third_crash: Vec<Option<Instant>>,
+    /// Sends of each poison request later than [`CONTACT`] after that, by nodes that were neither
+    /// partitioned nor restarted for as long.
+    pub late_sends: Vec<u32>,
+    /// Number of refusals of each poison request.
     pub refused: Vec<u32>,
-    /// Refusals of requests that crash nothing.
+    /// Number of refused harmless requests.
     pub innocent_refused: u32,
-    /// Answers to requests that crash nothing.
+    /// Number of answered harmless requests.
     pub innocent_served: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    Deadly(usize),
+    Poison(usize),
     Innocent,
 }
 
@@ -120,7 +123,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Upstream {
     start: u64,
-    back: Option<Instant>,
+    /// When the upstream is available again, if it is down.
+    down_until: Option<Instant>,
 }
 
 /// A fleet in simulated time.
@@ -128,48 +132,48 @@
 pub struct Fleet {
     plan: Plan,
     random: rngs::StdRng,
-    began: Instant,
+    started: Instant,
     now: Instant,
     nodes: Vec<Quarantine>,
     upstreams: Vec<Upstream>,
     running: Vec<Running>,
-    /// Requests that a node sends, or sends again, at a time.
+    /// Requests to be sent or retried: time, node and visit.
     due: Vec<(Instant, usize, Visit)>,
-    /// Requests that were in flight at a crash, until the node knows that it was one.
-    checked: Vec<(Instant, usize, Sighting)>,
+    /// Sightings of crashes that the node has not detected yet.
+    undetected: Vec<(Instant, usize, Sighting)>,
     datagrams: Vec<(Instant, usize, Source, Report)>,
     callers: u32,
-    told: Duration,
+    last_repetition: Duration,
     outcome: Outcome,
 }
 
 impl Fleet {
-    /// Plays a plan for `length`.
-    pub fn play(plan: &Plan, length: Duration) -> Outcome {
+    /// Simulates a plan for `length`.
+    pub fn run(plan: &Plan, length: Duration) -> Outcome {
         let now = Instant::now() + Duration::from_secs(3_600);
-        let deadly = plan.deadly.len();
+        let poison = plan.poison.len();
         let mut fleet = Self {
             random: rngs::StdRng::seed_from_u64(plan.seed),
-            began: now,
+            started: now,
             now,
             nodes: (0..plan.nodes).map(|_| Quarantine::new(now)).collect(),
-            upstreams: vec![Upstream { start: 1, back: None }; plan.upstreams],
+            upstreams: vec![Upstream { start: 1, down_until: None }; plan.upstreams],
             running: Vec::new(),
             due: Vec::new(),
-            checked: Vec::new(),
+            undetected: Vec::new(),
             datagrams: Vec::new(),
             callers: 0,
-            told: Duration::ZERO,
+            last_repetition: Duration::ZERO,
             outcome: Outcome {
-                crashes: vec![0; deadly],
-                third: vec![None; deadly],
-                later: vec![0; deadly],
-                refused: vec![0; deadly],
+                crashes: vec![0; poison],
+                third_crash: vec![None; poison],
+                late_sends: vec![0; poison],
+                refused: vec![0; poison],
                 ..Outcome::default()
             },
             plan: plan.clone(),
         };
-        while fleet.now - fleet.began < length {
+        while fleet.now - fleet.started < length {
             fleet.step();
         }
         fleet.outcome
@@ -178,39 +182,42 @@
     fn step(&mut self) {
         self.now += STEP;
         self.arrive();
-        self.end_by_other_causes();
+        self.crash_for_other_reasons();
         self.send_due();
         self.finish();
-        self.tell();
-        self.hear();
+        self.send_reports();
+        self.receive_reports();
     }
 
-    fn passed(&self) -> Duration {
-        self.now - self.began
+    fn elapsed(&self) -> Duration {
+        self.now - self.started
     }
 
-    fn comes(&mut self, per_second: f64) -> bool {
+    /// Draws whether a request arrives in this step.
+    fn arrives(&mut self, per_second: f64) -> bool {
         self.random.random_bool((per_second * STEP.as_secs_f64()).min(1.0))
     }
 
     fn arrive(&mut self) {
-        for index in 0..self.plan.deadly.len() {
-            let (per_second, callers) = self.plan.deadly[index];
-            if self.comes(per_second) {
+        for index in 0..self.plan.poison.len() {
+            let (per_second, callers) = self.plan.poison[index];
+            if self.arrives(per_second) {
                 let caller = self.random.random_range(0..callers);
+                // The path determines the fingerprint, and with it the outcome of the recorded
+                // seeds.
                 let path = format!("/deadly/{index}");
-                self.visit(Kind::Deadly(index), fingerprint(&path, caller), 7);
+                self.visit(Kind::Poison(index), fingerprint(&path, caller), 7);
             }
         }
-        if self.comes(self.plan.innocent) {
+        if self.arrives(self.plan.innocent) {
             self.callers += 1;
             let caller = 1_000 + self.callers;
-            // A few share the object of the deadly requests, and so the upstreams that these are sent to.
+            // A few share the object of the poison requests, and are sent to the same upstreams.
             let object = self.random.random_range(0..10);
             let path = format!("/innocent/{}", self.random.random_range(0..1_000));
             self.visit(Kind::Innocent, fingerprint(&path, caller), object);
         }
-        if self.comes(self.plan.polled) {
+        if self.arrives(self.plan.polled) {
             self.visit(Kind::Innocent, fingerprint("/polled", 999), 7);
         }
     }
@@ -221,19 +228,19 @@
         self.due.push((self.now, node, visit));
     }
 
-    fn end_by_other_causes(&mut self) {
-        let passed = self.passed();
-        let ends: Vec<usize> =
-            self.plan.ends.iter().filter(|(at, _)| is_at(*at, passed)).map(|(_, n)| *n).collect();
-        for count in ends {
+    fn crash_for_other_reasons(&mut self) {
+        let elapsed = self.elapsed();
+        let outages = self.plan.outages.iter().filter(|(at, _)| is_at(*at, elapsed));
+        let counts: Vec<usize> = outages.map(|(_, count)| *count).collect();
+        for count in counts {
             for upstream in 0..count {
                 self.crash(upstream);
             }
         }
-        if let Some((from, pause)) = self.plan.rolling {
+        if let Some((from, interval)) = self.plan.rolling_restart {
             for upstream in 0..self.plan.upstreams {
                 let turn = u32::try_from(upstream).expect("few");
-                if is_at(from + pause * turn, passed) {
+                if is_at(from + interval * turn, elapsed) {
                     self.crash(upstream);
                 }
             }
@@ -251,7 +258,7 @@
     fn send(&mut self, node: usize, mut visit: Visit) {
         if self.nodes[node].check(&visit.fingerprint, self.now).is_some() {
             match visit.kind {
-                Kind::Deadly(index) => self.outcome.refused[index] += 1,
+                Kind::Poison(index) => self.outcome.refused[index] += 1,
                 Kind::Innocent => self.outcome.innocent_refused += 1,
             }
             return;
@@ -263,31 +270,34 @@
         let mut preferred: Vec<usize> = (0..self.plan.upstreams).collect();
         let mut order = rngs::StdRng::seed_from_u64(key);
         preferred.sort_by_cached_key(|_| order.random::<u64>());
-        let is_up = |upstream: &usize| self.upstreams[*upstream].back.is_none();
+        let is_up = |upstream: &usize| self.upstreams[*upstream].down_until.is_none();
         let upstream = preferred.into_iter().find(|u| is_up(u) && !visit.tried.contains(u));
         let Some(upstream) = upstream else { return };
         let work = match visit.kind {
-            Kind::Deadly(_) => self.random.random_range(30..120),
+            Kind::Poison(_) => self.random.random_range(30..120),
             Kind::Innocent => self.random.random_range(200..800),
         };
-        if let Kind::Deadly(index) = visit.kind {
-            let third = self.outcome.third[index];
+        if let Kind::Poison(index) = visit.kind {
+            let third = self.outcome.third_crash[index];
             let is_late = third.is_some_and(|third| self.now >= third + CONTACT);
-            self.outcome.later[index] += u32::from(is_late && self.is_in_touch(node));
+            self.outcome.late_sends[index] += u32::from(is_late && self.is_in_contact(node));
         }
         visit.tried.push(upstream);
         let ends = self.now + Duration::from_millis(work);
         self.running.push(Running { visit, node, upstream, sent: self.now, ends });
     }
 
-    /// Returns whether a node was neither cut off nor started anew for as long as contact takes.
-    fn is_in_touch(&self, node: usize) -> bool {
-        let passed = self.passed();
-        let was_cut = |(cut, until): (usize, Duration)| cut == node && passed < until + CONTACT;
-        let has_started = |(replaced, at): (usize, Duration)| {
-            replaced == node && (at..at + CONTACT).contains(&passed)
+    /// Returns whether a node was neither partitioned nor restarted within the last [`CONTACT`].
+    fn is_in_contact(&self, node: usize) -> bool {
+        let elapsed = self.elapsed();
+        let was_partitioned = |(partitioned, until): (usize, Duration)| {
+            partitioned == node && elapsed < until + CONTACT
         };
-        !self.plan.cut.is_some_and(was_cut) && !self.plan.replaced.is_some_and(has_started)
+        let was_restarted = |(restarted, at): (usize, Duration)| {
+            restarted == node && (at..at + CONTACT).contains(&elapsed)
+        };
+        !self.plan.partitioned.is_some_and(was_partitioned)
+            && !self.plan.restarted.is_some_and(was_restarted)
     }
 
     fn finish(&mut self) {
@@ -295,15 +305,15 @@
         let ended: Vec<_> = self.running.extract_if(.., |running| running.ends <= now).collect();
         for running in ended {
             match running.visit.kind {
-                Kind::Deadly(index) => {
+                Kind::Poison(index) => {
                     let upstream = running.upstream;
-                    // It ended in this step under another request.
-                    if self.upstreams[upstream].back.is_some() {
+                    // Another request crashed the upstream in this step.
+                    if self.upstreams[upstream].down_until.is_some() {
                         continue;
                     }
                     self.outcome.crashes[index] += 1;
                     if self.outcome.crashes[index] == 3 {
-                        self.outcome.third[index] = Some(now);
+                        self.outcome.third_crash[index] = Some(now);
                     }
                     self.running.push(running);
                     self.crash(upstream);
@@ -317,22 +327,22 @@
             }
         }
         for upstream in &mut self.upstreams {
-            if upstream.back.is_some_and(|back| back <= now) {
-                *upstream = Upstream { start: upstream.start + 1, back: None };
+            if upstream.down_until.is_some_and(|until| until <= now) {
+                *upstream = Upstream { start: upstream.start + 1, down_until: None };
             }
         }
     }
 
     fn crash(&mut self, upstream: usize) {
-        if self.upstreams[upstream].back.is_some() {
+        if self.upstreams[upstream].down_until.is_some() {
             return;
         }
         let down = Duration::from_millis(self.random.random_range(1_500..4_000));
-        self.upstreams[upstream].back = Some(self.now + down);
+        self.upstreams[upstream].down_until = Some(self.now + down);
         let start = start_of(upstream, self.upstreams[upstream].start);
-        let up = self.upstreams.iter().filter(|u| u.back.is_none()).count() + 1;
-        let lost: Vec<_> = self.running.extract_if(.., |r| r.upstream == upstream).collect();
-        for running in lost {
+        let up = self.upstreams.iter().filter(|u| u.down_until.is_none()).count() + 1;
+        let interrupted: Vec<_> = self.running.extract_if(.., |r| r.upstream == upstream).collect();
+        for running in interrupted {
             let crash = Crash {
                 start,
                 service: Service(1),
@@ -341,97 +351,99 @@
             };
             let Running { visit, node, sent, .. } = running;
             let sighting = Sighting { fingerprint: visit.fingerprint, crash, sent };
-            let known = self.now + CHECK;
-            self.checked.push((known, node, sighting));
-            self.come_again(known, node, visit);
+            let detected = self.now + DETECTION_TIME;
+            self.undetected.push((detected, node, sighting));
+            self.retry(detected, node, visit);
         }
     }
 
-    /// A visit whose upstream ended goes on at another one; when it may not, its caller comes again at any node.
-    fn come_again(&mut self, known: Instant, node: usize, mut visit: Visit) {
-        if visit.tried.len() < TRIES {
-            self.due.push((known + STEP, node, visit));
-        } else if visit.visits < VISITS {
+    /// Retries a visit whose upstream crashed at another upstream; after the last attempt, the
+    /// caller repeats the request at a random node.
+    fn retry(&mut self, detected: Instant, node: usize, mut visit: Visit) {
+        if visit.tried.len() < MAX_ATTEMPTS {
+            self.due.push((detected + STEP, node, visit));
+        } else if visit.visits < MAX_VISITS {
             visit.visits += 1;
             visit.tried.clear();
             let node = self.random.random_range(0..self.plan.nodes);
-            self.due.push((known + Duration::from_millis(60), node, visit));
+            self.due.push((detected + Duration::from_millis(60), node, visit));
         }
     }
 
-    fn tell(&mut self) {
+    fn send_reports(&mut self) {
         let now = self.now;
         let millis = self.millis();
-        let checked: Vec<_> = self.checked.extract_if(.., |(at, _, _)| *at <= now).collect();
-        for (_, node, sighting) in checked {
+        let detected: Vec<_> = self.undetected.extract_if(.., |(at, _, _)| *at <= now).collect();
+        for (_, node, sighting) in detected {
             self.nodes[node].crashed(sighting, Source::Own, millis, now);
         }
-        if let Some((node, at)) = self.plan.replaced
-            && is_at(at, self.passed())
+        if let Some((node, at)) = self.plan.restarted
+            && is_at(at, self.elapsed())
         {
             self.nodes[node] = Quarantine::new(now);
         }
-        let is_time = self.passed() >= self.told + Duration::from_millis(500);
-        if is_time {
-            self.told = self.passed();
+        let is_repetition_due = self.elapsed() >= self.last_repetition + Duration::from_millis(500);
+        if is_repetition_due {
+            self.last_repetition = self.elapsed();
         }
         for node in 0..self.plan.nodes {
             self.nodes[node].judge(millis, now);
             let (near, far) = self.nodes[node].take_reports(now);
             for other in 0..self.plan.nodes {
                 let is_near = node % REGIONS == other % REGIONS;
-                let news = if is_near { &near } else { &far };
-                if other != node && !news.is_empty() {
-                    self.deliver(node, other, news.clone());
+                let report = if is_near { &near } else { &far };
+                if other != node && !report.is_empty() {
+                    self.deliver(node, other, report.clone());
                 }
             }
-            let again = self.nodes[node].repeat(0, now);
-            if is_time && !again.is_empty() {
+            let repeated = self.nodes[node].repeat(0, now);
+            if is_repetition_due && !repeated.is_empty() {
                 let other = self.random.random_range(0..self.plan.nodes);
-                self.deliver(node, other, again);
+                self.deliver(node, other, repeated);
             }
         }
     }
 
-    fn deliver(&mut self, from: usize, to: usize, news: Report) {
-        let is_cut = |(node, until)| (from == node) != (to == node) && self.passed() < until;
-        if self.plan.cut.is_some_and(is_cut) || self.random.random_bool(self.plan.lost) {
+    fn deliver(&mut self, from: usize, to: usize, report: Report) {
+        let is_cut_off = |(node, until)| (from == node) != (to == node) && self.elapsed() < until;
+        if self.plan.partitioned.is_some_and(is_cut_off) || self.random.random_bool(self.plan.lost)
+        {
             return;
         }
         let source = match from % REGIONS == to % REGIONS {
             true => Source::Near,
             false => Source::Far,
         };
-        let way = Duration::from_millis(self.random.random_range(10..60));
-        self.datagrams.push((self.now + way, to, source, news));
+        let delay = Duration::from_millis(self.random.random_range(10..60));
+        self.datagrams.push((self.now + delay, to, source, report));
     }
 
-    fn hear(&mut self) {
+    fn receive_reports(&mut self) {
         let now = self.now;
         let millis = self.millis();
         let arrived: Vec<_> = self.datagrams.extract_if(.., |(at, ..)| *at <= now).collect();
-        for (_, node, source, news) in arrived {
+        for (_, node, source, report) in arrived {
             let quarantine = &mut self.nodes[node];
-            for sighting in news.sightings {
+            for sighting in report.sightings {
                 quarantine.crashed(sighting, source, millis, now);
             }
-            for fingerprint in news.cleared {
+            for fingerprint in report.cleared {
                 quarantine.succeeded(&fingerprint, source, millis, now);
             }
-            for (scope, ruling) in news.rulings {
+            for (scope, ruling) in report.rulings {
                 quarantine.apply_ruling(scope, ruling, source, now);
             }
         }
     }
 
     fn millis(&self) -> u64 {
-        1_800_000_000_000 + u64::try_from(self.passed().as_millis()).expect("minutes")
+        1_800_000_000_000 + u64::try_from(self.elapsed().as_millis()).expect("minutes")
     }
 }
 
-/// Returns whether a step that ends at `passed` holds `at`.
-fn is_at(at: Duration, passed: Duration) -> bool {
-    passed >= at && passed < at + STEP
+/// Returns whether the step that ends at `elapsed` contains `at`.
+fn is_at(at: Duration, elapsed: Duration) -> bool {
+    elapsed >= at && elapsed < at + STEP
 }
 
 /// Returns the start of an upstream.
--- a/crates/steer/tests/quarantine/main.rs
+++ b/crates/steer/tests/quarantine/main.rs
@@ -1,4 +1,5 @@
-//! Quarantine: requests that crash upstreams are held back at every node, and no other request ever is.
+//! Tests of the quarantine: requests that crash upstreams are held back at every node, and no other
+//! request is.
 
 mod drawn;
 mod fleet;
--- a/crates/steer/tests/store_calls.rs
+++ b/crates/steer/tests/store_calls.rs
@@ -1,4 +1,4 @@
-//! Waits at the store, in a row.
+//! Tests of the timeouts and the backoff of store calls.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
 use steer::dispatch::fleet::store_call::{self, Backoff, Turn};
 use steer::dispatch::fleet::watchers;
 
-/// Time from the store's answer to the node, in the slowest deployment known: slow, and in another region.
+/// Time until an answer of the store arrives in the slowest known deployment: a slow store in
+/// another region.
 const ANSWER: Duration = Duration::from_millis(310);
 
-/// Bounds on leaving upstreams of a few deployments.
+/// Values of `Bounds::drain` in several deployments.
 const DRAINS: [Duration; 4] = [
     Duration::from_secs(2),
     Duration::from_millis(2_500),
@@ -19,7 +20,7 @@
     Duration::from_secs(8),
 ];
 
-/// Bounds on contact of a few deployments, and below and above them.
+/// Values of `Bounds::contact` in several deployments, and smaller and larger ones.
 const CONTACTS: [Duration; 6] = [
     Duration::from_secs(2),
     Duration::from_millis(2_500),
@@ -30,7 +31,7 @@
 ];
 
 #[test]
-fn the_longest_waits_in_a_row_and_an_answer_stay_below_contact() {
+fn the_longest_gap_and_an_answer_stay_below_contact() {
     for contact in CONTACTS {
         let gap = store_call::longest_gap(contact) + ANSWER;
         assert!(gap < contact, "{gap:?} of {contact:?}");
@@ -38,9 +39,9 @@
 }
 
 #[test]
-fn a_node_takes_over_from_silenced_watchers_within_the_bound_on_leaving_upstreams() {
+fn a_node_takes_over_from_unanswered_watchers_within_the_bound_on_leaving_upstreams() {
     let nodes: Vec<id::Node> = ["n-1", "n-2"].into_iter().map(id::Node::new).collect();
-    let last = watchers::place(&nodes[1], nodes[..1].iter()).expect("it watches");
+    let last = watchers::place(&nodes[1], nodes[..1].iter()).expect("the second node watches");
     for contact in CONTACTS {
         for drain in DRAINS {
             let bound = store_call::bound(&Bounds { contact, drain, ..Bounds::default() });
@@ -61,7 +62,7 @@
 }
 
 quickcheck! {
-    fn no_pause_of_a_node_that_comes_first_is_longer_than_the_gap_allows(
+    fn no_pause_of_one_of_the_first_nodes_is_longer_than_the_gap_allows(
         failures: u8,
         draws: Vec<u8>
     ) -> bool {
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_pause_grows_with_failures_and_starts_anew_after_an_answer() {
+fn the_pause_doubles_with_failures_and_is_reset_by_an_answer() {
     let contact = CONTACTS[1];
     let mut backoff = Backoff::default();
     let first = backoff.pause(contact, Turn::Later, 0.5);
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn the_first_nodes_of_a_region_come_first_whether_they_reach_the_store_or_not() {
+fn the_first_two_nodes_of_a_region_take_precedence() {
     let nodes: Vec<id::Node> = (1..=5).map(|n| id::Node::new(&format!("n-{n}"))).collect();
     let turn = |me: usize| {
         let others = nodes.iter().enumerate().filter(|(n, _)| *n != me).map(|(_, node)| node);
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_node_that_starts_has_had_an_answer_before_it_is_in_touch() {
+fn a_starting_node_has_had_an_answer_of_the_store_once_contact_has_passed() {
     for contact in CONTACTS {
         let settle = store_call::CHECK_PERIOD + watchers::settle(contact, true, 1.0);
         let latest = settle + store_call::answer(contact);
