--- a/crates/node/src/gateway/replica/entry.rs
+++ b/crates/node/src/gateway/replica/entry.rs
@@ -8,7 +8,7 @@
 use platform::fact;
 use platform::store::item;
 use platform::upstream;
-use steer::dispatch::fleet::doubt;
+use steer::dispatch::fleet::store_restore;
 
 use crate::gateway::kept_ruling;
 use crate::gateway::member;
@@ -57,32 +57,35 @@
 
 impl Entry {
     /// Returns what it says of its own age.
-    pub fn content(&self) -> doubt::Content {
+    pub fn content(&self) -> store_restore::Content {
         match &self.fact {
             Known::Upstream(upstream) => of_upstream(upstream, &self.item),
-            Known::Configuration(version) => doubt::Content::Configuration(*version),
+            Known::Configuration(version) => store_restore::Content::Configuration(*version),
             Known::Evacuated(_)
             | Known::Node(_)
             | Known::Ruling(_)
             | Known::Fleet
-            | Known::Nothing => doubt::Content::Undated,
+            | Known::Nothing => store_restore::Content::Undated,
         }
     }
 }
 
 /// Returns what an item that says `fact` says of its own age.
-pub fn content(fact: &fact::Fact, item: &item::Item) -> doubt::Content {
+pub fn content(fact: &fact::Fact, item: &item::Item) -> store_restore::Content {
     match fact {
         fact::Fact::Upstream(upstream) => of_upstream(upstream, item),
-        fact::Fact::Routing(routing) => doubt::Content::Configuration(routing.version),
-        _ => doubt::Content::Undated,
+        fact::Fact::Routing(routing) => store_restore::Content::Configuration(routing.version),
+        _ => store_restore::Content::Undated,
     }
 }
 
-fn of_upstream(entry: &discovery::Entry, item: &item::Item) -> doubt::Content {
+fn of_upstream(entry: &discovery::Entry, item: &item::Item) -> store_restore::Content {
     let calls = upstream::calls(&item.value);
     let leaves = entry.state == discovery::State::Draining;
-    doubt::Content::Upstream { written: doubt::Written { born: entry.born, calls }, leaves }
+    store_restore::Content::Upstream {
+        written: store_restore::Written { born: entry.born, calls },
+        leaves,
+    }
 }
 
 /// Decodes what a node wrote about itself.
--- a/crates/node/src/gateway/replica/era.rs
+++ b/crates/node/src/gateway/replica/era.rs
@@ -1,10 +1,10 @@
 //! Eras of a copy: what is kept of it when the store was restored from a copy of its own, and when the doubt ends.
 //!
-//! Relies on [`doubt`] for what holds of two values whose revisions cannot be compared.
+//! Relies on [`store_restore`] for what holds of two values whose revisions cannot be compared.
 
 use platform::fact;
 use platform::store::item;
-use steer::dispatch::fleet::doubt;
+use steer::dispatch::fleet::store_restore;
 
 use crate::gateway::replica::changes::Changes;
 use crate::gateway::replica::entry::{self, Entry};
@@ -33,7 +33,8 @@
     /// Takes an item of the copy, if nothing newer is known of its key.
     fn reconcile(&mut self, item: item::Item, changes: &mut Changes) {
         let fact = fact::read(&item.key, &item.value);
-        let copy = fact.as_ref().map_or(doubt::Content::Undated, |f| entry::content(f, &item));
+        let copy =
+            fact.as_ref().map_or(store_restore::Content::Undated, |f| entry::content(f, &item));
         if item.is_removed {
             // Another node knows that it ended, and what the copy says of its age.
             if !self.entries.contains_key(&item.key) {
@@ -45,8 +46,8 @@
             (Some(known), _) if known.item.era >= item.era => {
                 known.item.position() < item.position()
             }
-            (Some(known), _) => doubt::replaces(known.content(), copy),
-            (None, Some(removed)) => doubt::comes_back(*removed, copy, false),
+            (Some(known), _) => store_restore::replaces(known.content(), copy),
+            (None, Some(removed)) => store_restore::comes_back(*removed, copy, false),
             (None, None) => true,
         };
         match stands {
@@ -89,8 +90,9 @@
         for (key, item) in outdated {
             let removed = self.removed_before.get(&key).copied();
             let fact = fact::read(&item.key, &item.value);
-            let copy = fact.as_ref().map_or(doubt::Content::Undated, |f| entry::content(f, &item));
-            match removed.is_some_and(|removed| doubt::comes_back(removed, copy, true)) {
+            let copy =
+                fact.as_ref().map_or(store_restore::Content::Undated, |f| entry::content(f, &item));
+            match removed.is_some_and(|removed| store_restore::comes_back(removed, copy, true)) {
                 true => self.put(item, fact, &mut changes),
                 // It may be read again, and is as old then as now.
                 false => {
--- a/crates/node/src/gateway/replica/mod.rs
+++ b/crates/node/src/gateway/replica/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns the typed facts by their keys and merges them by the store's positions, so that copies merge in
 //! any order and nothing older replaces what is newer. A store that was restored from a copy begins another era: until what it lost has been
-//! written again, [`doubt`] decides by what the values say of themselves. Relies on [`fact`] to decode an item. An item's
+//! written again, [`store_restore`] decides by what the values say of themselves. Relies on [`fact`] to decode an item. An item's
 //! bytes stay beside its fact for extracts only: other nodes get them as the store gave them, with digests in place of
 //! the keys of organisations.
 
@@ -20,7 +20,7 @@
 use platform::fact;
 use platform::malformed;
 use platform::store::{item, position};
-use steer::dispatch::fleet::doubt;
+use steer::dispatch::fleet::store_restore;
 
 use crate::gateway::kept_ruling;
 
@@ -38,9 +38,9 @@
 pub struct Replica {
     entries: collections::BTreeMap<String, Entry>,
     /// Keys that were removed in this era, by the revisions at which they were, with what their values said of their age.
-    removed: collections::BTreeMap<(u64, String), doubt::Content>,
+    removed: collections::BTreeMap<(u64, String), store_restore::Content>,
     /// Keys that were removed in earlier eras, and may stand in the store once more.
-    removed_before: collections::BTreeMap<String, doubt::Content>,
+    removed_before: collections::BTreeMap<String, store_restore::Content>,
     /// What the store holds of this era and what does not stand, since something newer was known.
     outdated: collections::BTreeMap<String, item::Item>,
     routing: Option<sync::Arc<routing::Routing>>,
@@ -266,7 +266,7 @@
     }
 
     fn remove(&mut self, key: &str, revision: u64, changes: &mut Changes) {
-        let content = self.forget(key, changes).unwrap_or(doubt::Content::Undated);
+        let content = self.forget(key, changes).unwrap_or(store_restore::Content::Undated);
         self.removed.insert((revision, key.to_owned()), content);
         while self.removed.len() > MOST_REMOVED {
             if let Some(((revision, _), _)) = self.removed.pop_first() {
@@ -276,7 +276,7 @@
     }
 
     /// Drops a key; returns what its value said of its age, if it was known.
-    fn forget(&mut self, key: &str, changes: &mut Changes) -> Option<doubt::Content> {
+    fn forget(&mut self, key: &str, changes: &mut Changes) -> Option<store_restore::Content> {
         self.outdated.remove(key);
         let entry = self.entries.remove(key)?;
         match entry.fact {
--- a/crates/node/src/gateway/state/era.rs
+++ b/crates/node/src/gateway/state/era.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use platform::store::{client, position};
-use steer::dispatch::fleet::doubt;
+use steer::dispatch::fleet::store_restore;
 
 use crate::gateway::replica;
 use crate::gateway::state::{State, update};
@@ -41,7 +41,7 @@
             return;
         };
         match self.doubt.get() {
-            Some((doubted, since)) if doubted == era && doubt::is_over(since, now) => {
+            Some((doubted, since)) if doubted == era && store_restore::is_over(since, now) => {
                 self.apply(update::Source::Store, replica::Replica::end_doubt);
             }
             Some((doubted, _)) if doubted == era => {}
--- a/crates/steer/src/dispatch/fleet/mod.rs
+++ b/crates/steer/src/dispatch/fleet/mod.rs
@@ -13,12 +13,11 @@
 //! 4. [`lookup`] returns the nodes of the [`active_set`] to callers, chosen by their capacity and
 //!    [`request_rate`].
 //!
-//! [`doubt`] resolves conflicts after the store was restored from a backup copy.
+//! [`store_restore`] resolves conflicts after the store was restored from a backup copy.
 
 pub mod active_set;
 pub mod announcement;
 pub mod catch_up;
-pub mod doubt;
 pub mod gossip;
 pub mod lookup;
 pub mod membership;
@@ -26,4 +25,5 @@
 pub mod representatives;
 pub mod request_rate;
 pub mod store_call;
+pub mod store_restore;
 pub mod watchers;
