--- a/crates/node/src/gateway/state/quarantine.rs
+++ b/crates/node/src/gateway/state/quarantine.rs
@@ -56,7 +56,7 @@
 
     /// Judges what was recorded, if it is time.
     pub fn judge_crashes(&self, now: Instant) {
-        let decisions = self.quarantine.borrow_mut().judge(unix_millis(), now);
+        let decisions = self.quarantine.borrow_mut().evaluate(unix_millis(), now);
         self.log_decisions(&decisions, None);
     }
 
--- a/crates/steer/src/dispatch/quarantine/mod.rs
+++ b/crates/steer/src/dispatch/quarantine/mod.rs
@@ -197,7 +197,7 @@
 
     /// Evaluates the recorded crashes if the evaluation is due. Returns the requests that are held
     /// back from now on.
-    pub fn judge(&mut self, unix_millis: u64, now: Instant) -> Vec<Decision> {
+    pub fn evaluate(&mut self, unix_millis: u64, now: Instant) -> Vec<Decision> {
         if self.due.is_none_or(|due| now < due) {
             return Vec::new();
         }
--- a/crates/steer/tests/quarantine/fleet.rs
+++ b/crates/steer/tests/quarantine/fleet.rs
@@ -387,7 +387,7 @@
             self.last_repetition = self.elapsed();
         }
         for node in 0..self.plan.nodes {
-            self.nodes[node].judge(millis, now);
+            self.nodes[node].evaluate(millis, now);
             let (near, far) = self.nodes[node].take_reports(now);
             for other in 0..self.plan.nodes {
                 let is_near = node % REGIONS == other % REGIONS;
--- a/crates/steer/tests/quarantine/rules.rs
+++ b/crates/steer/tests/quarantine/rules.rs
@@ -54,7 +54,7 @@
     }
 
     fn judge(&mut self, millis: u64) -> usize {
-        self.quarantine.judge(UNIX_MILLIS + millis, self.at(millis)).len()
+        self.quarantine.evaluate(UNIX_MILLIS + millis, self.at(millis)).len()
     }
 
     fn is_held(&mut self, request: Fingerprint, millis: u64) -> bool {
