--- a/crates/node/src/gateway/state/quarantine.rs
+++ b/crates/node/src/gateway/state/quarantine.rs
@@ -49,7 +49,7 @@
 
     /// Sets the requests of `scope` free, as an operator asks.
     pub fn release(&self, scope: Scope) {
-        let decision = self.quarantine.borrow_mut().lift(scope, unix_millis(), Instant::now());
+        let decision = self.quarantine.borrow_mut().release(scope, unix_millis(), Instant::now());
         self.log_decisions(&[decision], None);
         self.quarantine_changed.notify_one();
     }
--- a/crates/steer/src/dispatch/quarantine/mod.rs
+++ b/crates/steer/src/dispatch/quarantine/mod.rs
@@ -159,11 +159,11 @@
             self.outbox.add(&report, source);
         }
         let (scope, _) = self.rulings.in_force_for(request, now)?;
-        Some(self.lift(scope, unix_millis, now))
+        Some(self.release(scope, unix_millis, now))
     }
 
     /// Releases the requests of `scope` and removes their recorded crashes.
-    pub fn lift(&mut self, scope: Scope, unix_millis: u64, now: Instant) -> Decision {
+    pub fn release(&mut self, scope: Scope, unix_millis: u64, now: Instant) -> Decision {
         self.record.remove(&scope);
         let ruling = self.rulings.decide(scope, false, 0, unix_millis, now);
         self.report(scope, ruling, Source::Own);
--- a/crates/steer/tests/quarantine/rules.rs
+++ b/crates/steer/tests/quarantine/rules.rs
@@ -200,7 +200,7 @@
     let (scope, ruling) = node.quarantine.held(node.at(1_000)).next().expect("held");
     let (scope, ruling) = (*scope, *ruling);
     let now = node.at(2_000);
-    node.quarantine.lift(scope, UNIX_MILLIS, now);
+    node.quarantine.release(scope, UNIX_MILLIS, now);
     assert!(!node.is_held(poison(), 2_000));
     assert_eq!(node.quarantine.apply_ruling(scope, ruling, Source::Far, now), None);
     assert!(!node.is_held(poison(), 2_000));
