--- a/crates/steer/src/dispatch/quarantine/mod.rs
+++ b/crates/steer/src/dispatch/quarantine/mod.rs
@@ -118,7 +118,7 @@
 
     /// Returns whether a request is to be sent to other upstreams than the rest of its object.
     #[must_use]
-    pub fn is_apart(&self, request: &Fingerprint) -> bool {
+    pub fn is_isolated(&self, request: &Fingerprint) -> bool {
         self.record.crash_count(&Scope::from(*request)) >= ISOLATION_CRASHES
     }
 
--- a/crates/steer/tests/quarantine/fleet.rs
+++ b/crates/steer/tests/quarantine/fleet.rs
@@ -263,7 +263,7 @@
             }
             return;
         }
-        let key = match self.nodes[node].is_apart(&visit.fingerprint) {
+        let key = match self.nodes[node].is_isolated(&visit.fingerprint) {
             true => visit.fingerprint.spread(),
             false => visit.object,
         };
--- a/crates/steer/tests/quarantine/rules.rs
+++ b/crates/steer/tests/quarantine/rules.rs
@@ -135,7 +135,7 @@
         node.crash(innocent, upstream, at);
     }
     assert_eq!(node.judge(1_000), 0, "either request may be the cause");
-    assert!(node.quarantine.is_apart(&innocent) && node.quarantine.is_apart(&poison()));
+    assert!(node.quarantine.is_isolated(&innocent) && node.quarantine.is_isolated(&poison()));
     node.crash(poison(), 7, 1_100);
     assert_eq!(node.judge(1_500), 0, "a lead of one crash may be a coincidence");
     node.crash(poison(), 8, 1_600);
