--- a/crates/node/src/gateway/control.rs
+++ b/crates/node/src/gateway/control.rs
@@ -89,7 +89,7 @@
             "fingerprint": scope.to_string(),
             "crashes": ruling.crashes,
             "held_ms": millis(ruling.since),
-            "asked_ms_ago": millis(ruling.asked),
+            "asked_ms_ago": millis(ruling.last_request),
         })
     };
     quarantine.held(now).map(ruling).collect()
--- a/crates/node/src/gateway/kept_ruling.rs
+++ b/crates/node/src/gateway/kept_ruling.rs
@@ -47,6 +47,6 @@
         let Self { number, is_held, crashes } = self;
         let age = Duration::from_millis(unix_millis.saturating_sub(number));
         let since = now.checked_sub(age).unwrap_or(now);
-        ruling::Ruling { number, is_held, crashes, since, asked: now }
+        ruling::Ruling { number, is_held, crashes, since, last_request: now }
     }
 }
--- a/crates/node/src/gateway/quarantine_report.rs
+++ b/crates/node/src/gateway/quarantine_report.rs
@@ -71,7 +71,7 @@
         is_held: ruling.is_held,
         crashes: ruling.crashes,
         since_ms: age(ruling.since, now),
-        asked_ms: age(ruling.asked, now),
+        asked_ms: age(ruling.last_request, now),
     }
 }
 
@@ -118,7 +118,7 @@
         is_held: ruling.is_held,
         crashes: ruling.crashes,
         since: before(now, ruling.since_ms),
-        asked: before(now, ruling.asked_ms),
+        last_request: before(now, ruling.asked_ms),
     };
     Ok((read_scope(request)?, read))
 }
--- a/crates/node/tests/quarantine_reports.rs
+++ b/crates/node/tests/quarantine_reports.rs
@@ -36,7 +36,7 @@
         is_held: true,
         crashes: 4,
         since: ago(2_000),
-        asked: ago(30),
+        last_request: ago(30),
     };
     let any = Scope { caller: None, ..Scope::from(request(1)) };
     Report {
--- a/crates/steer/src/dispatch/quarantine/ruling.rs
+++ b/crates/steer/src/dispatch/quarantine/ruling.rs
@@ -32,7 +32,7 @@
     /// When the decision was made.
     pub since: Instant,
     /// When a matching request last arrived, at any node.
-    pub asked: Instant,
+    pub last_request: Instant,
 }
 
 impl Ruling {
@@ -40,7 +40,7 @@
     /// not held back.
     #[must_use]
     pub fn left(&self, now: Instant) -> Option<Duration> {
-        let left = IDLE_TIMEOUT.checked_sub(now.saturating_duration_since(self.asked))?;
+        let left = IDLE_TIMEOUT.checked_sub(now.saturating_duration_since(self.last_request))?;
         (self.is_held && !left.is_zero()).then_some(left)
     }
 
@@ -48,7 +48,7 @@
     /// all nodes know if it was released.
     #[must_use]
     pub fn is_over(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.asked) >= IDLE_TIMEOUT
+        now.saturating_duration_since(self.last_request) >= IDLE_TIMEOUT
     }
 }
 
@@ -99,7 +99,7 @@
     /// Records the arrival of a request that is held back.
     pub fn record_request(&mut self, scope: &Scope, now: Instant) {
         if let Some(ruling) = self.0.get_mut(scope) {
-            ruling.asked = now;
+            ruling.last_request = now;
         }
     }
 
@@ -114,7 +114,7 @@
     ) -> Ruling {
         let previous = self.0.get(&scope).map_or(0, |ruling| ruling.number);
         let number = unix_millis.max(previous + 1);
-        let ruling = Ruling { number, is_held, crashes, since: now, asked: now };
+        let ruling = Ruling { number, is_held, crashes, since: now, last_request: now };
         self.0.insert(scope, ruling);
         self.evict();
         ruling
@@ -128,12 +128,12 @@
             self.evict();
             return reported.left(now).is_some();
         };
-        known.asked = known.asked.max(reported.asked);
+        known.last_request = known.last_request.max(reported.last_request);
         if reported.number <= known.number {
             return false;
         }
         let was_held = known.left(now).is_some();
-        *known = Ruling { asked: known.asked, ..reported };
+        *known = Ruling { last_request: known.last_request, ..reported };
         known.left(now).is_some() != was_held
     }
 
@@ -156,14 +156,15 @@
 
     /// Removes rulings whose retention time has passed.
     pub fn expire(&mut self, now: Instant) {
-        let is_retained =
-            |r: &Ruling| now.saturating_duration_since(r.asked) < IDLE_TIMEOUT + EXPIRED_RETENTION;
+        let is_retained = |r: &Ruling| {
+            now.saturating_duration_since(r.last_request) < IDLE_TIMEOUT + EXPIRED_RETENTION
+        };
         self.0.retain(|_, ruling| is_retained(ruling));
     }
 
     fn evict(&mut self) {
         while self.0.len() > MAX_RULINGS {
-            let oldest = self.0.iter().min_by_key(|(_, ruling)| ruling.asked);
+            let oldest = self.0.iter().min_by_key(|(_, ruling)| ruling.last_request);
             let Some((&oldest, _)) = oldest else { return };
             self.0.remove(&oldest);
         }
