--- a/crates/node/src/gateway/quarantine_keeper.rs
+++ b/crates/node/src/gateway/quarantine_keeper.rs
@@ -69,7 +69,8 @@
     let lacks = |(scope, ruling): (&Scope, &Ruling)| {
         let kept = replica.rulings().filter(stands).find(|kept| kept.scope == *scope);
         let is_due = now.saturating_duration_since(ruling.since) >= turn;
-        let is_worth = ruling.left(now).is_some() || kept.is_some_and(|kept| kept.kept.is_held);
+        let is_worth =
+            ruling.remaining(now).is_some() || kept.is_some_and(|kept| kept.kept.is_held);
         let is_newer = kept.is_none_or(|kept| {
             kept.kept.number < ruling.number && kept.kept.is_held != ruling.is_held
         });
--- a/crates/steer/src/dispatch/quarantine/mod.rs
+++ b/crates/steer/src/dispatch/quarantine/mod.rs
@@ -111,7 +111,7 @@
     pub fn check(&mut self, request: &Fingerprint, now: Instant) -> Option<Hold> {
         let (scope, ruling) = self.rulings.in_force_for(request, now)?;
         self.rulings.record_request(&scope, now);
-        let retry_after = self.rulings.get(&scope)?.left(now)?;
+        let retry_after = self.rulings.get(&scope)?.remaining(now)?;
         let held = now.saturating_duration_since(ruling.since);
         Some(Hold { scope, ruling, held, retry_after })
     }
@@ -220,7 +220,7 @@
         let scopes = self.record.contents().flat_map(|content| self.candidate_scopes(content));
         let not_held = scopes.filter(|scope| {
             let is_held = |scope: &Scope| {
-                self.rulings.get(scope).is_some_and(|ruling| ruling.left(now).is_some())
+                self.rulings.get(scope).is_some_and(|ruling| ruling.remaining(now).is_some())
             };
             !is_held(scope) && !is_held(&Scope { caller: None, ..*scope })
         });
@@ -258,7 +258,7 @@
     /// page.
     #[must_use]
     pub fn repeat(&self, turn: usize, now: Instant) -> Report {
-        let is_relevant = |r: &Ruling| r.left(now).is_some() || !r.is_held;
+        let is_relevant = |r: &Ruling| r.remaining(now).is_some() || !r.is_held;
         let rulings: Vec<(Scope, Ruling)> =
             self.rulings.iter().filter(|(_, r)| is_relevant(r)).map(|(s, r)| (*s, *r)).collect();
         let pages = rulings.len().div_ceil(MAX_REPEATED).max(1);
--- a/crates/steer/src/dispatch/quarantine/ruling.rs
+++ b/crates/steer/src/dispatch/quarantine/ruling.rs
@@ -39,9 +39,10 @@
     /// Returns how long requests remain held back if no more of them arrive, or `None` if they are
     /// not held back.
     #[must_use]
-    pub fn left(&self, now: Instant) -> Option<Duration> {
-        let left = IDLE_TIMEOUT.checked_sub(now.saturating_duration_since(self.last_request))?;
-        (self.is_held && !left.is_zero()).then_some(left)
+    pub fn remaining(&self, now: Instant) -> Option<Duration> {
+        let remaining =
+            IDLE_TIMEOUT.checked_sub(now.saturating_duration_since(self.last_request))?;
+        (self.is_held && !remaining.is_zero()).then_some(remaining)
     }
 
     /// Returns whether the ruling is obsolete: no matching request has arrived for a long time, and
@@ -77,7 +78,7 @@
         let scopes = scopes_of(request);
         let mut rulings =
             scopes.into_iter().filter_map(|scope| Some((scope, *self.0.get(&scope)?)));
-        rulings.find(|(_, ruling)| ruling.left(now).is_some())
+        rulings.find(|(_, ruling)| ruling.remaining(now).is_some())
     }
 
     /// Returns the ruling on the requests of `scope`.
@@ -93,7 +94,7 @@
 
     /// Returns the rulings in force.
     pub fn in_force(&self, now: Instant) -> impl Iterator<Item = (&Scope, &Ruling)> {
-        self.0.iter().filter(move |(_, ruling)| ruling.left(now).is_some())
+        self.0.iter().filter(move |(_, ruling)| ruling.remaining(now).is_some())
     }
 
     /// Records the arrival of a request that is held back.
@@ -126,15 +127,15 @@
         let Some(known) = self.0.get_mut(&scope) else {
             self.0.insert(scope, reported);
             self.evict();
-            return reported.left(now).is_some();
+            return reported.remaining(now).is_some();
         };
         known.last_request = known.last_request.max(reported.last_request);
         if reported.number <= known.number {
             return false;
         }
-        let was_held = known.left(now).is_some();
+        let was_held = known.remaining(now).is_some();
         *known = Ruling { last_request: known.last_request, ..reported };
-        known.left(now).is_some() != was_held
+        known.remaining(now).is_some() != was_held
     }
 
     /// Holds a request with an expired ruling back again after another crash. Returns the new
@@ -147,7 +148,9 @@
     ) -> Option<(Scope, Ruling)> {
         let mut scopes = scopes_of(request).into_iter();
         let is_expired = |scope: &Scope| {
-            self.0.get(scope).is_some_and(|ruling| ruling.is_held && ruling.left(now).is_none())
+            self.0
+                .get(scope)
+                .is_some_and(|ruling| ruling.is_held && ruling.remaining(now).is_none())
         };
         let scope = scopes.find(is_expired)?;
         let crashes = self.0.get(&scope)?.crashes.saturating_add(1);
