--- a/crates/node/src/gateway/state/quarantine.rs
+++ b/crates/node/src/gateway/state/quarantine.rs
@@ -22,7 +22,7 @@
     pub fn record_crash(&self, sighting: Sighting) {
         let now = Instant::now();
         let mut quarantine = self.quarantine.borrow_mut();
-        let decision = quarantine.crashed(sighting, Source::Own, unix_millis(), now);
+        let decision = quarantine.record_crash(sighting, Source::Own, unix_millis(), now);
         drop(quarantine);
         self.log_decisions(decision.as_slice(), None);
         self.quarantine_changed.notify_one();
@@ -66,7 +66,7 @@
         let unix_millis = unix_millis();
         let mut decisions = Vec::new();
         for sighting in report.sightings {
-            decisions.extend(quarantine.crashed(sighting, source, unix_millis, now));
+            decisions.extend(quarantine.record_crash(sighting, source, unix_millis, now));
         }
         for request in report.cleared {
             decisions.extend(quarantine.succeeded(&request, source, unix_millis, now));
--- a/crates/steer/src/dispatch/quarantine/mod.rs
+++ b/crates/steer/src/dispatch/quarantine/mod.rs
@@ -124,7 +124,7 @@
 
     /// Records a request that was in flight at an upstream when it crashed. Returns the decision if
     /// an expired ruling is reinstated.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         sighting: Sighting,
         source: Source,
--- a/crates/steer/tests/quarantine/fleet.rs
+++ b/crates/steer/tests/quarantine/fleet.rs
@@ -375,7 +375,7 @@
         let millis = self.millis();
         let detected: Vec<_> = self.undetected.extract_if(.., |(at, _, _)| *at <= now).collect();
         for (_, node, sighting) in detected {
-            self.nodes[node].crashed(sighting, Source::Own, millis, now);
+            self.nodes[node].record_crash(sighting, Source::Own, millis, now);
         }
         if let Some((node, at)) = self.plan.restarted
             && is_at(at, self.elapsed())
@@ -425,7 +425,7 @@
         for (_, node, source, report) in arrived {
             let quarantine = &mut self.nodes[node];
             for sighting in report.sightings {
-                quarantine.crashed(sighting, source, millis, now);
+                quarantine.record_crash(sighting, source, millis, now);
             }
             for fingerprint in report.cleared {
                 quarantine.succeeded(&fingerprint, source, millis, now);
--- a/crates/steer/tests/quarantine/rules.rs
+++ b/crates/steer/tests/quarantine/rules.rs
@@ -50,7 +50,7 @@
         };
         let sighting = Sighting { fingerprint: request, crash, sent: self.at(sent) };
         let now = self.at(millis);
-        self.quarantine.crashed(sighting, Source::Own, UNIX_MILLIS + millis, now);
+        self.quarantine.record_crash(sighting, Source::Own, UNIX_MILLIS + millis, now);
     }
 
     fn judge(&mut self, millis: u64) -> usize {
