--- a/crates/node/src/gateway/state/quarantine.rs
+++ b/crates/node/src/gateway/state/quarantine.rs
@@ -32,7 +32,7 @@
     pub fn record_success(&self, request: &Fingerprint) {
         let now = Instant::now();
         let mut quarantine = self.quarantine.borrow_mut();
-        let decision = quarantine.succeeded(request, Source::Own, unix_millis(), now);
+        let decision = quarantine.record_success(request, Source::Own, unix_millis(), now);
         let has_report = quarantine.has_report();
         drop(quarantine);
         self.log_decisions(decision.as_slice(), None);
@@ -69,7 +69,7 @@
             decisions.extend(quarantine.record_crash(sighting, source, unix_millis, now));
         }
         for request in report.cleared {
-            decisions.extend(quarantine.succeeded(&request, source, unix_millis, now));
+            decisions.extend(quarantine.record_success(&request, source, unix_millis, now));
         }
         for (scope, ruling) in report.rulings {
             decisions.extend(quarantine.apply_ruling(scope, ruling, source, now));
--- a/crates/steer/src/dispatch/quarantine/mod.rs
+++ b/crates/steer/src/dispatch/quarantine/mod.rs
@@ -147,7 +147,7 @@
     }
 
     /// Records that a request ran to its end. Returns the decision if that releases the request.
-    pub fn succeeded(
+    pub fn record_success(
         &mut self,
         request: &Fingerprint,
         source: Source,
--- a/crates/steer/tests/quarantine/fleet.rs
+++ b/crates/steer/tests/quarantine/fleet.rs
@@ -322,7 +322,7 @@
                     self.outcome.innocent_served += 1;
                     let fingerprint = running.visit.fingerprint;
                     let millis = self.millis();
-                    self.nodes[running.node].succeeded(&fingerprint, Source::Own, millis, now);
+                    self.nodes[running.node].record_success(&fingerprint, Source::Own, millis, now);
                 }
             }
         }
@@ -428,7 +428,7 @@
                 quarantine.record_crash(sighting, source, millis, now);
             }
             for fingerprint in report.cleared {
-                quarantine.succeeded(&fingerprint, source, millis, now);
+                quarantine.record_success(&fingerprint, source, millis, now);
             }
             for (scope, ruling) in report.rulings {
                 quarantine.apply_ruling(scope, ruling, source, now);
--- a/crates/steer/tests/quarantine/rules.rs
+++ b/crates/steer/tests/quarantine/rules.rs
@@ -120,7 +120,7 @@
         node.crash(poison(), upstream, 100 + 200 * upstream as u64);
     }
     let now = node.at(500);
-    node.quarantine.succeeded(&poison(), Source::Own, UNIX_MILLIS, now);
+    node.quarantine.record_success(&poison(), Source::Own, UNIX_MILLIS, now);
     node.crash(poison(), 3, 700);
     assert_eq!(node.judge(1_000), 0);
 }
@@ -172,7 +172,7 @@
         node.crash(request, upstream, 100 + 200 * upstream as u64);
     }
     let now = node.at(600);
-    node.quarantine.succeeded(&fingerprint("/deadly", 9), Source::Own, UNIX_MILLIS, now);
+    node.quarantine.record_success(&fingerprint("/deadly", 9), Source::Own, UNIX_MILLIS, now);
     assert_eq!(node.judge(1_000), 0);
 }
 
