--- a/crates/node/src/gateway/directory.rs
+++ b/crates/node/src/gateway/directory.rs
@@ -24,11 +24,11 @@
         .alive(Instant::now())
         .chain([&*me])
         .filter(|m| m.is_serving())
-        .map(|m| lookup::Node { region: &m.region, callers: m.callers, said: m.said() })
+        .map(|m| lookup::Node { region: &m.region, callers: m.callers, report: m.said() })
         .collect();
     let listed = members.listed().map(|(name, listed)| {
-        let said = active_set::Node { name, capacity: 0, requests: 0 };
-        lookup::Node { region: &listed.region, callers: listed.callers, said }
+        let report = active_set::Node { name, capacity: 0, requests: 0 };
+        lookup::Node { region: &listed.region, callers: listed.callers, report }
     });
     let chosen = lookup::addresses(&region, &homes, &serving, listed);
     directory::answer(&chosen, lookup::cache(&state.settings.borrow().bounds()))
--- a/crates/steer/src/dispatch/fleet/lookup.rs
+++ b/crates/steer/src/dispatch/fleet/lookup.rs
@@ -26,7 +26,7 @@
     /// The address at which the node accepts callers.
     pub callers: net::SocketAddr,
     /// The capacity and load that the node reports about itself.
-    pub said: active_set::Node<'a>,
+    pub report: active_set::Node<'a>,
 }
 
 /// Returns the addresses for a caller in `region` that looks up a host whose home regions are
@@ -69,6 +69,6 @@
 }
 
 fn addresses_of(nodes: Vec<Node<'_>>) -> Vec<net::SocketAddr> {
-    let active = active_set::select(nodes, |node| node.said);
+    let active = active_set::select(nodes, |node| node.report);
     active.into_iter().map(|node| node.callers).collect()
 }
