--- a/crates/node/src/gateway/replica/era.rs
+++ b/crates/node/src/gateway/replica/era.rs
@@ -47,7 +47,7 @@
                 known.item.position() < item.position()
             }
             (Some(known), _) => store_restore::replaces(known.content(), copy),
-            (None, Some(removed)) => store_restore::comes_back(*removed, copy, false),
+            (None, Some(removed)) => store_restore::overrides_removal(*removed, copy, false),
             (None, None) => true,
         };
         match stands {
@@ -92,7 +92,9 @@
             let fact = fact::read(&item.key, &item.value);
             let copy =
                 fact.as_ref().map_or(store_restore::Content::Undated, |f| entry::content(f, &item));
-            match removed.is_some_and(|removed| store_restore::comes_back(removed, copy, true)) {
+            match removed
+                .is_some_and(|removed| store_restore::overrides_removal(removed, copy, true))
+            {
                 true => self.put(item, fact, &mut changes),
                 // It may be read again, and is as old then as now.
                 false => {
--- a/crates/steer/src/dispatch/fleet/store_restore.rs
+++ b/crates/steer/src/dispatch/fleet/store_restore.rs
@@ -60,7 +60,7 @@
 /// without a version are accepted once [`REWRITE_PERIOD`] has passed. A cancelled evacuation is an
 /// example: its hall keeps serving, and is evacuated if the store still says so after that time.
 #[must_use]
-pub fn comes_back(removed: Content, copy: Content, is_over: bool) -> bool {
+pub fn overrides_removal(removed: Content, copy: Content, is_over: bool) -> bool {
     match (removed, copy) {
         (Content::Upstream { written: removed, .. }, Content::Upstream { written: copy, .. }) => {
             copy > removed
