--- a/crates/node/src/gateway/sync.rs
+++ b/crates/node/src/gateway/sync.rs
@@ -109,7 +109,7 @@
         Err(error::Error::Compacted) => {
             log::info!(after = state.replica.borrow().at().revision; "history-compacted");
             read_once(state, client).await?;
-            tokio::time::sleep(place.gather()).await;
+            tokio::time::sleep(place.batch_delay()).await;
             Ok(Brought::Everything)
         }
         outcome => outcome,
@@ -177,6 +177,6 @@
     if !has_changes {
         return Ok(Brought::Nothing);
     }
-    tokio::time::sleep(place.gather()).await;
+    tokio::time::sleep(place.batch_delay()).await;
     Ok(Brought::Changes)
 }
--- a/crates/steer/src/dispatch/fleet/store_call.rs
+++ b/crates/steer/src/dispatch/fleet/store_call.rs
@@ -120,10 +120,10 @@
 ///
 /// Worst case: a change arrives just after another one for which all watchers delay their next
 /// watch, and the next watch of the last watcher is not answered. That watcher delays its watch by
-/// `gather` and then uses `part` of the usual duration.
+/// `batch_delay` and then uses `part` of the usual duration.
 #[must_use]
-pub fn longest_takeover(bound: Duration, gather: Duration, part: f64) -> Duration {
-    gather + watch_after_change(bound, part) + watch_answer(bound) + CHECK_PERIOD
+pub fn longest_takeover(bound: Duration, batch_delay: Duration, part: f64) -> Duration {
+    batch_delay + watch_after_change(bound, part) + watch_answer(bound) + CHECK_PERIOD
 }
 
 /// Whether a node is among the first live nodes of its region that should watch the store.
--- a/crates/steer/src/dispatch/fleet/watchers.rs
+++ b/crates/steer/src/dispatch/fleet/watchers.rs
@@ -96,7 +96,7 @@
 
     /// Returns the delay between a change and the next watch, which batches changes.
     #[must_use]
-    pub fn gather(self) -> Duration {
+    pub fn batch_delay(self) -> Duration {
         if self.0 == 0 { FIRST_BATCH_DELAY } else { OTHERS_BATCH_DELAY }
     }
 }
