--- a/crates/node/src/gateway/sync.rs
+++ b/crates/node/src/gateway/sync.rs
@@ -88,7 +88,7 @@
     match brought {
         _ if backoff.has_failed() => Duration::ZERO,
         Brought::Changes | Brought::Everything => {
-            store_call::watch_after_change(bound, place.part_of_watch())
+            store_call::watch_after_change(bound, place.watch_share())
         }
         Brought::Nothing => store_call::watch(bound),
     }
--- a/crates/steer/src/dispatch/fleet/store_call.rs
+++ b/crates/steer/src/dispatch/fleet/store_call.rs
@@ -77,11 +77,11 @@
     bound.mul_f64(WATCH_SHARE).max(MIN_WATCH)
 }
 
-/// Returns the maximum duration of the first watch after a change, where `part` is the share of the
+/// Returns the maximum duration of the first watch after a change, where `share` is the share of the
 /// usual duration that the watcher uses, from 0 to 1.
 #[must_use]
-pub fn watch_after_change(bound: Duration, part: f64) -> Duration {
-    watch(bound).mul_f64(part)
+pub fn watch_after_change(bound: Duration, share: f64) -> Duration {
+    watch(bound).mul_f64(share)
 }
 
 /// Returns the timeout for the answer to a watch, in addition to its duration.
@@ -120,10 +120,10 @@
 ///
 /// Worst case: a change arrives just after another one for which all watchers delay their next
 /// watch, and the next watch of the last watcher is not answered. That watcher delays its watch by
-/// `batch_delay` and then uses `part` of the usual duration.
+/// `batch_delay` and then uses `share` of the usual duration.
 #[must_use]
-pub fn longest_takeover(bound: Duration, batch_delay: Duration, part: f64) -> Duration {
-    batch_delay + watch_after_change(bound, part) + watch_answer(bound) + CHECK_PERIOD
+pub fn longest_takeover(bound: Duration, batch_delay: Duration, share: f64) -> Duration {
+    batch_delay + watch_after_change(bound, share) + watch_answer(bound) + CHECK_PERIOD
 }
 
 /// Whether a node is among the first live nodes of its region that should watch the store.
--- a/crates/steer/src/dispatch/fleet/watchers.rs
+++ b/crates/steer/src/dispatch/fleet/watchers.rs
@@ -90,7 +90,7 @@
     /// it (process test with three nodes). Costs at most one call per change that is followed by a
     /// quiet period.
     #[must_use]
-    pub fn part_of_watch(self) -> f64 {
+    pub fn watch_share(self) -> f64 {
         if self.0 == 0 { 1.0 } else { OTHERS_WATCH_SHARE }
     }
 
--- a/crates/steer/tests/store_calls.rs
+++ b/crates/steer/tests/store_calls.rs
@@ -46,7 +46,7 @@
         for drain in DRAINS {
             let bound = store_call::bound(&Bounds { contact, drain, ..Bounds::default() });
             let takeover =
-                store_call::longest_takeover(bound, last.batch_delay(), last.part_of_watch())
+                store_call::longest_takeover(bound, last.batch_delay(), last.watch_share())
                     + ANSWER;
             assert!(takeover < drain, "{takeover:?} of {drain:?}, contact {contact:?}");
         }
