--- a/crates/node/src/gateway/state/nodes.rs
+++ b/crates/node/src/gateway/state/nodes.rs
@@ -62,7 +62,7 @@
     pub fn read_turn(&self) -> Duration {
         let members = self.members.borrow();
         let others = members.staying(Instant::now()).map(|m| &m.node);
-        watchers::read_turn(&self.me.borrow().node, others)
+        watchers::read_delay(&self.me.borrow().node, others)
     }
 
     /// Returns the other living nodes of the region that say they reach the store.
--- a/crates/steer/src/dispatch/fleet/watchers.rs
+++ b/crates/steer/src/dispatch/fleet/watchers.rs
@@ -113,7 +113,7 @@
 /// another node the chance to be first.
 ///
 /// `others` are the other live nodes of its region that are not leaving.
-pub fn read_turn<'a>(me: &id::Node, others: impl Iterator<Item = &'a id::Node>) -> Duration {
+pub fn read_delay<'a>(me: &id::Node, others: impl Iterator<Item = &'a id::Node>) -> Duration {
     let predecessors = count_before(me, others).saturating_sub(PER_REGION - 1);
     let turns = u32::try_from(predecessors).unwrap_or(u32::MAX);
     READ_DELAY_STEP.saturating_mul(turns).min(MAX_READ_DELAY)
