--- a/crates/node/src/gateway/fleet_keeper.rs
+++ b/crates/node/src/gateway/fleet_keeper.rs
@@ -46,7 +46,7 @@
         }
         let number = known.unwrap_or_else(|| id::Fleet(rand::rng().random()));
         let write = fleet::creation(number);
-        let call = client.write(&write, store_call::answer(state.store_bound()));
+        let call = client.write(&write, store_call::answer_timeout(state.store_bound()));
         // The record of calls logs a failure. A condition that does not hold means that another node was first.
         let _ = state.call_store(store_calls::Kind::Fleet, call).await;
         lacking_since = None;
--- a/crates/node/src/gateway/quarantine_keeper.rs
+++ b/crates/node/src/gateway/quarantine_keeper.rs
@@ -46,7 +46,7 @@
             }
             Difference::Outlived(scope, revision) => rulings::removal(&scope, revision),
         };
-        let call = client.write(&write, store_call::answer(state.store_bound()));
+        let call = client.write(&write, store_call::answer_timeout(state.store_bound()));
         // The record of calls logs a failure. A condition that does not hold means that another node was first.
         let written = state.call_store(store_calls::Kind::Ruling, call).await;
         if written.is_err() {
--- a/crates/node/src/gateway/registration.rs
+++ b/crates/node/src/gateway/registration.rs
@@ -80,7 +80,7 @@
     state: &state::State,
     client: &client::Client,
 ) -> Result<lease::Held, error::Error> {
-    let time = store_call::answer(state.store_bound());
+    let time = store_call::answer_timeout(state.store_bound());
     let call = client.lease(LEASE_TIME, time);
     let lease = state.call_store(store_calls::Kind::Lease, call).await?;
     let (key, value) = {
@@ -119,7 +119,7 @@
                 return;
             }
         };
-        let call = client.renew(lease, store_call::answer(state.store_bound()));
+        let call = client.renew(lease, store_call::answer_timeout(state.store_bound()));
         match state.call_store(store_calls::Kind::Renewal, call).await {
             Ok(()) => {}
             Err(error::Error::NoLease) => {
--- a/crates/node/src/gateway/sync.rs
+++ b/crates/node/src/gateway/sync.rs
@@ -163,7 +163,7 @@
     let after = state.replica.borrow().at().revision;
     let bound = state.store_bound();
     let answer = match wait.is_zero() {
-        true => store_call::answer(bound),
+        true => store_call::answer_timeout(bound),
         false => store_call::watch_answer(bound),
     };
     let call = client.watch(ALL_KEYS, after, wait, answer);
--- a/crates/steer/src/dispatch/fleet/store_call.rs
+++ b/crates/steer/src/dispatch/fleet/store_call.rs
@@ -92,7 +92,7 @@
 
 /// Returns the timeout for the answer to a call that does not wait for changes.
 #[must_use]
-pub fn answer(bound: Duration) -> Duration {
+pub fn answer_timeout(bound: Duration) -> Duration {
     bound.mul_f64(CALL_SHARE).max(MIN_ANSWER_TIMEOUT)
 }
 
@@ -111,7 +111,7 @@
     let max_factor = 1.0 + JITTER;
     let after_watch =
         watch(bound) + watch_answer(bound) + bound.mul_f64(FIRST_PAUSE_SHARE * max_factor);
-    let after_failure = answer(bound) + bound.mul_f64(MAX_PAUSE_SHARE * max_factor);
+    let after_failure = answer_timeout(bound) + bound.mul_f64(MAX_PAUSE_SHARE * max_factor);
     after_watch.max(after_failure)
 }
 
--- a/crates/steer/tests/store_calls.rs
+++ b/crates/steer/tests/store_calls.rs
@@ -57,7 +57,7 @@
 fn a_slow_store_answers_in_time() {
     for contact in CONTACTS {
         assert!(store_call::watch_answer(contact) > ANSWER);
-        assert!(store_call::answer(contact) > ANSWER);
+        assert!(store_call::answer_timeout(contact) > ANSWER);
         assert!(store_call::read(contact) > ANSWER);
     }
 }
@@ -73,7 +73,7 @@
             backoff.pause(contact, Turn::First, 1.0);
         }
         let draw = |byte: &u8| f64::from(*byte) / f64::from(u8::MAX);
-        let longest = store_call::longest_gap(contact).saturating_sub(store_call::answer(contact));
+        let longest = store_call::longest_gap(contact).saturating_sub(store_call::answer_timeout(contact));
         draws.iter().all(|byte| backoff.pause(contact, Turn::First, draw(byte)) <= longest)
     }
 }
@@ -106,7 +106,7 @@
 fn a_starting_node_has_had_an_answer_of_the_store_once_contact_has_passed() {
     for contact in CONTACTS {
         let settle = store_call::CHECK_PERIOD + watchers::settle(contact, true, 1.0);
-        let latest = settle + store_call::answer(contact);
+        let latest = settle + store_call::answer_timeout(contact);
         assert!(latest < contact + ANSWER, "{latest:?} of {contact:?}");
         assert!(watchers::settle(contact, true, 0.0) >= Duration::from_secs(1));
         assert!(watchers::settle(contact, false, 1.0).is_zero());
