--- a/crates/node/src/gateway/registration.rs
+++ b/crates/node/src/gateway/registration.rs
@@ -51,7 +51,7 @@
 async fn left_behind(state: &state::State) -> Option<lease::Held> {
     let began = Instant::now();
     while !state.replica.borrow().is_complete() {
-        if began.elapsed() >= store_call::read(state.store_bound()) {
+        if began.elapsed() >= store_call::read_timeout(state.store_bound()) {
             return None;
         }
         tokio::time::sleep(CHECK_PERIOD).await;
--- a/crates/node/src/gateway/sync.rs
+++ b/crates/node/src/gateway/sync.rs
@@ -137,7 +137,7 @@
     client: &client::Client,
     freshness: client::Freshness,
 ) -> Result<Brought, error::Error> {
-    let call = client.range(ALL_KEYS, freshness, store_call::read(state.store_bound()));
+    let call = client.range(ALL_KEYS, freshness, store_call::read_timeout(state.store_bound()));
     let page = state.call_store(store_calls::Kind::Read, call).await?;
     is_current(state, page.position())?;
     state.apply(update::Source::Store, |replica| replica.replace(page));
--- a/crates/steer/src/dispatch/fleet/store_call.rs
+++ b/crates/steer/src/dispatch/fleet/store_call.rs
@@ -98,7 +98,7 @@
 
 /// Returns the timeout for reading all keys.
 #[must_use]
-pub fn read(bound: Duration) -> Duration {
+pub fn read_timeout(bound: Duration) -> Duration {
     bound.mul_f64(READ_SHARE).max(MIN_ANSWER_TIMEOUT)
 }
 
--- a/crates/steer/tests/store_calls.rs
+++ b/crates/steer/tests/store_calls.rs
@@ -58,7 +58,7 @@
     for contact in CONTACTS {
         assert!(store_call::watch_answer(contact) > ANSWER);
         assert!(store_call::answer_timeout(contact) > ANSWER);
-        assert!(store_call::read(contact) > ANSWER);
+        assert!(store_call::read_timeout(contact) > ANSWER);
     }
 }
 
