--- a/crates/node/src/gateway/sync.rs
+++ b/crates/node/src/gateway/sync.rs
@@ -164,7 +164,7 @@
     let bound = state.store_bound();
     let answer = match wait.is_zero() {
         true => store_call::answer_timeout(bound),
-        false => store_call::watch_answer(bound),
+        false => store_call::watch_answer_timeout(bound),
     };
     let call = client.watch(ALL_KEYS, after, wait, answer);
     let page = state.call_store(store_calls::Kind::Watch, call).await?;
--- a/crates/steer/src/dispatch/fleet/store_call.rs
+++ b/crates/steer/src/dispatch/fleet/store_call.rs
@@ -86,7 +86,7 @@
 
 /// Returns the timeout for the answer to a watch, in addition to its duration.
 #[must_use]
-pub fn watch_answer(bound: Duration) -> Duration {
+pub fn watch_answer_timeout(bound: Duration) -> Duration {
     bound.mul_f64(WATCH_ANSWER_SHARE).max(MIN_ANSWER_TIMEOUT)
 }
 
@@ -110,7 +110,7 @@
 pub fn longest_gap(bound: Duration) -> Duration {
     let max_factor = 1.0 + JITTER;
     let after_watch =
-        watch(bound) + watch_answer(bound) + bound.mul_f64(FIRST_PAUSE_SHARE * max_factor);
+        watch(bound) + watch_answer_timeout(bound) + bound.mul_f64(FIRST_PAUSE_SHARE * max_factor);
     let after_failure = answer_timeout(bound) + bound.mul_f64(MAX_PAUSE_SHARE * max_factor);
     after_watch.max(after_failure)
 }
@@ -123,7 +123,7 @@
 /// `batch_delay` and then uses `share` of the usual duration.
 #[must_use]
 pub fn longest_takeover(bound: Duration, batch_delay: Duration, share: f64) -> Duration {
-    batch_delay + watch_after_change(bound, share) + watch_answer(bound) + CHECK_PERIOD
+    batch_delay + watch_after_change(bound, share) + watch_answer_timeout(bound) + CHECK_PERIOD
 }
 
 /// Whether a node is among the first live nodes of its region that should watch the store.
--- a/crates/steer/tests/store_calls.rs
+++ b/crates/steer/tests/store_calls.rs
@@ -56,7 +56,7 @@
 #[test]
 fn a_slow_store_answers_in_time() {
     for contact in CONTACTS {
-        assert!(store_call::watch_answer(contact) > ANSWER);
+        assert!(store_call::watch_answer_timeout(contact) > ANSWER);
         assert!(store_call::answer_timeout(contact) > ANSWER);
         assert!(store_call::read_timeout(contact) > ANSWER);
     }
