--- a/crates/node/src/gateway/quarantine_keeper.rs
+++ b/crates/node/src/gateway/quarantine_keeper.rs
@@ -46,7 +46,7 @@
             }
             Difference::Outlived(scope, revision) => rulings::removal(&scope, revision),
         };
-        let call = client.write(&write, store_call::answer(state.store_bound()));
+        let call = client.write(&write, store_call::answer_timeout(state.store_bound()));
         // The record of calls logs a failure. A condition that does not hold means that another node was first.
         let written = state.call_store(store_calls::Kind::Ruling, call).await;
         if written.is_err() {
@@ -69,7 +69,8 @@
     let lacks = |(scope, ruling): (&Scope, &Ruling)| {
         let kept = replica.rulings().filter(stands).find(|kept| kept.scope == *scope);
         let is_due = now.saturating_duration_since(ruling.since) >= turn;
-        let is_worth = ruling.left(now).is_some() || kept.is_some_and(|kept| kept.kept.is_held);
+        let is_worth =
+            ruling.remaining(now).is_some() || kept.is_some_and(|kept| kept.kept.is_held);
         let is_newer = kept.is_none_or(|kept| {
             kept.kept.number < ruling.number && kept.kept.is_held != ruling.is_held
         });
--- a/crates/node/src/gateway/registration.rs
+++ b/crates/node/src/gateway/registration.rs
@@ -51,7 +51,7 @@
 async fn left_behind(state: &state::State) -> Option<lease::Held> {
     let began = Instant::now();
     while !state.replica.borrow().is_complete() {
-        if began.elapsed() >= store_call::read(state.store_bound()) {
+        if began.elapsed() >= store_call::read_timeout(state.store_bound()) {
             return None;
         }
         tokio::time::sleep(CHECK_PERIOD).await;
@@ -80,7 +80,7 @@
     state: &state::State,
     client: &client::Client,
 ) -> Result<lease::Held, error::Error> {
-    let time = store_call::answer(state.store_bound());
+    let time = store_call::answer_timeout(state.store_bound());
     let call = client.lease(LEASE_TIME, time);
     let lease = state.call_store(store_calls::Kind::Lease, call).await?;
     let (key, value) = {
@@ -119,7 +119,7 @@
                 return;
             }
         };
-        let call = client.renew(lease, store_call::answer(state.store_bound()));
+        let call = client.renew(lease, store_call::answer_timeout(state.store_bound()));
         match state.call_store(store_calls::Kind::Renewal, call).await {
             Ok(()) => {}
             Err(error::Error::NoLease) => {
--- a/crates/node/src/gateway/sync.rs
+++ b/crates/node/src/gateway/sync.rs
@@ -88,7 +88,7 @@
     match brought {
         _ if backoff.has_failed() => Duration::ZERO,
         Brought::Changes | Brought::Everything => {
-            store_call::watch_after_change(bound, place.part_of_watch())
+            store_call::watch_after_change(bound, place.watch_share())
         }
         Brought::Nothing => store_call::watch(bound),
     }
@@ -109,7 +109,7 @@
         Err(error::Error::Compacted) => {
             log::info!(after = state.replica.borrow().at().revision; "history-compacted");
             read_once(state, client).await?;
-            tokio::time::sleep(place.gather()).await;
+            tokio::time::sleep(place.batch_delay()).await;
             Ok(Brought::Everything)
         }
         outcome => outcome,
@@ -137,7 +137,7 @@
     client: &client::Client,
     freshness: client::Freshness,
 ) -> Result<Brought, error::Error> {
-    let call = client.range(ALL_KEYS, freshness, store_call::read(state.store_bound()));
+    let call = client.range(ALL_KEYS, freshness, store_call::read_timeout(state.store_bound()));
     let page = state.call_store(store_calls::Kind::Read, call).await?;
     is_current(state, page.position())?;
     state.apply(update::Source::Store, |replica| replica.replace(page));
@@ -163,8 +163,8 @@
     let after = state.replica.borrow().at().revision;
     let bound = state.store_bound();
     let answer = match wait.is_zero() {
-        true => store_call::answer(bound),
-        false => store_call::watch_answer(bound),
+        true => store_call::answer_timeout(bound),
+        false => store_call::watch_answer_timeout(bound),
     };
     let call = client.watch(ALL_KEYS, after, wait, answer);
     let page = state.call_store(store_calls::Kind::Watch, call).await?;
@@ -177,6 +177,6 @@
     if !has_changes {
         return Ok(Brought::Nothing);
     }
-    tokio::time::sleep(place.gather()).await;
+    tokio::time::sleep(place.batch_delay()).await;
     Ok(Brought::Changes)
 }
