--- a/crates/steer/src/dispatch/admission.rs
+++ b/crates/steer/src/dispatch/admission.rs
@@ -1,7 +1,8 @@
-//! Admission: whether a request may wait for the best upstream, or is refused at once.
+//! Admission control: whether a request may queue at the best upstream or is refused immediately.
 //!
-//! Owns nothing. Relies on [`candidate::Candidate`] for the expected times. A queue that makes every
-//! answer late serves no request, and a caller that is refused at once can retry where the queue is shorter.
+//! Stateless; uses the time estimates in [`candidate::Candidate`]. A queue long enough to make every
+//! response late helps no request, whereas a caller that is refused immediately can retry where the
+//! queue is shorter.
 
 use std::time::Duration;
 
@@ -11,54 +12,54 @@
 use crate::dispatch::request;
 use crate::dispatch::seconds;
 
-/// Longest wait, as a part of the route's target latency, where only waiting makes an answer late.
+/// Maximum queueing time as a fraction of the route's target latency, for responses that only
+/// queueing would make late.
 ///
-/// Measured: docs/DECISIONS.md, "How long a request may wait" (0.25 to 1.5 and no bound compared), and
+/// See docs/DECISIONS.md, "How long a request may wait" (0.25 to 1.5 and no bound compared), and
 /// docs/measurements/platform.md, row "refused at once where waiting would make late".
-const MAX_WAIT: f64 = 0.6;
+const MAX_WAIT_FRACTION: f64 = 0.6;
 
-/// As [`MAX_WAIT`], for requests that are more urgent than others of their service.
+/// Like [`MAX_WAIT_FRACTION`], for the most urgent requests of a service.
 ///
-/// A late answer is better than none, and less urgent requests make room. Measured: 2.7 % to 0 % refused with a
-/// service short by a quarter (`steer/tests/load`), and docs/measurements/worst-load.md, row "urgent requests wait
-/// longer" (0.6 and 1.2 compared).
-const MAX_URGENT_WAIT: f64 = 1.2;
+/// A late response is better than none, and less urgent requests leave capacity free. With a quarter
+/// of the service's capacity missing, refusals drop from 2.7 % to 0 % (`steer/tests/load`); see also
+/// docs/measurements/worst-load.md, row "urgent requests wait longer" (0.6 and 1.2 compared).
+const MAX_URGENT_WAIT_FRACTION: f64 = 1.2;
 
-/// Longest `Retry-After` of an overloaded service.
-///
-/// Bounds how long a wrong estimate keeps a caller away.
+/// Longest `Retry-After` for an overloaded service, so that a wrong estimate does not keep callers
+/// away for longer.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Shortest `Retry-After` of an overloaded service.
-///
-/// Keeps refused callers from retrying at once.
+/// Shortest `Retry-After` for an overloaded service, so that refused callers do not retry
+/// immediately.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Refuses a request that `chosen` would answer too late.
+/// Refuses a request whose response from `chosen` would be too late.
 ///
-/// Without a wait it is always admitted: its answer corrects an estimate that may be too high.
+/// A request that would not queue is always admitted, because its response corrects an estimate that
+/// may be too high.
 ///
 /// # Errors
 ///
-/// Returns when to retry, with the estimate that decided.
+/// Returns a refusal with the retry delay and the estimate it is based on.
 pub fn check(
     chosen: &candidate::Candidate,
     request: &request::Request<'_>,
 ) -> Result<(), refusal::Refusal> {
-    let excess = excess(chosen, request);
-    let is_late = chosen.wait.0 > 0.0 && excess > 0.0;
+    let lateness = lateness(chosen, request);
+    let is_late = chosen.wait.0 > 0.0 && lateness > 0.0;
     if !is_late {
         return Ok(());
     }
-    let excess = excess.min(MAX_RETRY_AFTER.as_secs_f64());
-    let retry_after = MIN_RETRY_AFTER.max(Duration::from_secs_f64(excess));
+    let lateness = lateness.min(MAX_RETRY_AFTER.as_secs_f64());
+    let retry_after = MIN_RETRY_AFTER.max(Duration::from_secs_f64(lateness));
     Err(refusal::Refusal::Overloaded { retry_after, estimate: estimate(chosen, request) })
 }
 
-/// Returns how long a request may wait for an upstream, where work takes `work`.
+/// Returns how long a request may queue at an upstream, given the mean processing time `work`.
 ///
-/// Unbounded where work alone takes longer than the target latency, since refusing would not help; but one that is
-/// less urgent than others leaves room for them in any case.
+/// Unbounded if processing alone exceeds the target latency, since a refusal would not help.
+/// A less urgent request is always bounded so that it leaves capacity for more urgent ones.
 #[must_use]
 pub fn max_wait(
     work: seconds::Seconds,
@@ -66,33 +67,34 @@
     request: &request::Request<'_>,
 ) -> seconds::Seconds {
     let target = request.route.target_latency.as_secs_f64();
-    let part = match rank {
-        priority::Rank::MostUrgent => MAX_URGENT_WAIT,
-        priority::Rank::Alone | priority::Rank::Behind { .. } => MAX_WAIT,
+    let fraction = match rank {
+        priority::Rank::MostUrgent => MAX_URGENT_WAIT_FRACTION,
+        priority::Rank::Alone | priority::Rank::Behind { .. } => MAX_WAIT_FRACTION,
     };
-    let own = match work.0 <= target {
-        true => target * part,
+    let limit = match work.0 <= target {
+        true => target * fraction,
         false => f64::INFINITY,
     };
     match rank {
-        priority::Rank::Behind { max_wait } => seconds::Seconds(own.min(max_wait.0)),
-        priority::Rank::Alone | priority::Rank::MostUrgent => seconds::Seconds(own),
+        priority::Rank::Behind { max_wait } => seconds::Seconds(limit.min(max_wait.0)),
+        priority::Rank::Alone | priority::Rank::MostUrgent => seconds::Seconds(limit),
     }
 }
 
-/// Returns the seconds by which a request would be too late; negative when it is in time.
+/// Returns by how many seconds a request would be late; negative if it would be in time.
 ///
-/// The answer must come before the deadline, and the wait stay within the candidate's longest.
-fn excess(chosen: &candidate::Candidate, request: &request::Request<'_>) -> f64 {
-    let beyond_deadline = chosen.expected.0 - request.time_left.as_secs_f64();
-    beyond_deadline.max(chosen.wait.0 - chosen.max_wait.0)
+/// The response must arrive before the deadline, and the wait must not exceed the candidate's
+/// maximum.
+fn lateness(chosen: &candidate::Candidate, request: &request::Request<'_>) -> f64 {
+    let past_deadline = chosen.cautious_latency.0 - request.time_left.as_secs_f64();
+    past_deadline.max(chosen.wait.0 - chosen.max_wait.0)
 }
 
 fn estimate(chosen: &candidate::Candidate, request: &request::Request<'_>) -> refusal::Estimate {
     refusal::Estimate {
         upstream: chosen.entry.id.clone(),
         wait: Duration::from_secs_f64(chosen.wait.0),
-        expected: Duration::from_secs_f64(chosen.expected.0),
+        expected: Duration::from_secs_f64(chosen.cautious_latency.0),
         time_left: request.time_left,
         load_age: chosen.load_age,
     }
--- a/crates/steer/src/dispatch/candidate.rs
+++ b/crates/steer/src/dispatch/candidate.rs
@@ -1,6 +1,6 @@
-//! Candidate: the best upstream of a region for a request, with what is expected of it.
+//! Candidate: the best upstream of a region for a request, with its time estimates.
 //!
-//! Owns nothing. Made by [`selection`]; compared by [`overflow`] and judged by [`admission`].
+//! Created by [`selection`], compared by [`overflow`] and checked by [`admission`].
 //!
 //! [`admission`]: crate::dispatch::admission
 //! [`overflow`]: crate::dispatch::overflow
@@ -15,27 +15,29 @@
 use crate::dispatch::seconds;
 use crate::dispatch::seen_objects;
 
-/// The best upstream of a region for a request.
+/// The best upstream of a region for a request, with its time estimates.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The upstream's entry.
+    /// The upstream's entry in service discovery.
     pub entry: sync::Arc<discovery::Entry>,
-    /// The request's object, with what the upstream is expected to know of it; none when it has none.
+    /// The request's object and whether the upstream probably has it cached; `None` if the request
+    /// has no object.
     pub object: Option<seen_objects::Object>,
-    /// Time the request would wait there.
+    /// Time the request would queue there.
     pub wait: seconds::Seconds,
-    /// Longest time that it may wait.
+    /// Longest time it may queue.
     pub max_wait: seconds::Seconds,
-    /// Mean time that upstreams of the service work on a request.
+    /// Mean processing time of the service's upstreams.
     pub work: seconds::Seconds,
-    /// Mean time until the answer, by what the upstream is expected to know of the object and by the way there.
-    pub done: seconds::Seconds,
-    /// Cautious estimate of the time until the answer.
-    pub expected: seconds::Seconds,
-    /// Age of the latest load that the upstream reported.
+    /// Mean time until the response, including the network latency and whether the upstream
+    /// probably has the object cached.
+    pub mean_latency: seconds::Seconds,
+    /// Conservative estimate of the time until the response.
+    pub cautious_latency: seconds::Seconds,
+    /// Age of the upstream's latest load report.
     pub load_age: Duration,
-    /// The upstream that the request's object prefers, where it said that it leaves, or rests.
+    /// The object's preferred upstream, if it was passed over because it is leaving or resting.
     pub avoided: Option<id::Upstream>,
-    /// Upstreams that came before it, and whose limits are used up.
+    /// Better upstreams that were skipped because their limits are exhausted.
     pub skipped: Vec<id::Upstream>,
 }
--- a/crates/steer/src/dispatch/dispatcher/choice.rs
+++ b/crates/steer/src/dispatch/dispatcher/choice.rs
@@ -1,7 +1,7 @@
-//! Choice of an upstream: the rules in the order in which a request meets them.
+//! Choice of an upstream: applies the dispatch rules in order.
 //!
-//! Route, order of regions, eligibility, selection in each region, overflow, admission. Each rule stands in
-//! a module of its own; here they only get their inputs.
+//! The order is route, order of regions, eligibility, selection within each region, overflow and
+//! admission. Each rule has its own module; this one provides their inputs.
 
 use std::time::{Duration, Instant};
 
@@ -27,37 +27,37 @@
 use crate::dispatch::skipped;
 use crate::dispatch::upstream;
 
-/// A region in the order in which a request looks at them.
+/// A region that may serve a request.
 #[derive(Debug)]
 struct Region {
     name: id::Region,
-    /// Its upstreams; none before the request looks at them, since the first region is enough for most.
+    /// Its best upstreams; computed on first use, since most requests only need the first region.
     ranking: Option<selection::Ranking>,
-    /// The upstream that the request's object prefers, where it said that it leaves, or rests.
+    /// The object's preferred upstream in the region, if it is leaving or resting.
     avoided: Option<id::Upstream>,
 }
 
-/// The regions that may serve a request, the preferred one first.
+/// The regions that may serve a request, most preferred first.
 #[derive(Debug)]
 struct Regions(Vec<Region>);
 
 impl Regions {
-    fn of(names: Vec<id::Region>) -> Self {
+    fn new(names: Vec<id::Region>) -> Self {
         Self(names.into_iter().map(|name| Region { name, ranking: None, avoided: None }).collect())
     }
 }
 
 impl Dispatcher {
-    /// Returns the service for the next request of a route; none when all weights are zero.
+    /// Returns the service for the next request of a route, or `None` if all weights are zero.
     pub fn pick_service(&mut self, route: &route::Route) -> Option<id::Service> {
         self.routes.next_service(route)
     }
 
-    /// Returns the upstream for a request; [`Dispatcher::sent`] must follow when it is sent.
+    /// Chooses the upstream for a request; call [`Dispatcher::sent`] when the request is sent.
     ///
     /// # Errors
     ///
-    /// Fails when no upstream may take the request, or the best one would answer too late.
+    /// Fails if no upstream may take the request or the best one would respond too late.
     pub fn choose(
         &mut self,
         request: &request::Request<'_>,
@@ -66,26 +66,26 @@
         if request.is_first_try() {
             let distance = self.distances.entry(request.service.clone()).or_default();
             distance.record_request(request.route.target_latency);
-            self.overflow.earn(self.bounds.greatest_shift);
+            self.overflow.refill(self.bounds.greatest_shift);
         }
-        let chosen = self.choose_admitted(request, now);
+        let chosen = self.choose_within_limits(request, now);
         if request.is_first_try() {
             self.priorities.record(request.service, request.urgency, chosen.is_ok());
         }
         chosen
     }
 
-    fn choose_admitted(
+    fn choose_within_limits(
         &mut self,
         request: &request::Request<'_>,
         now: Instant,
     ) -> Result<candidate::Candidate, refusal::Refusal> {
         self.limits.count(now);
         let rank = self.priorities.rank(request);
-        let mut regions = Regions::of(self.region_order(request, now));
+        let mut regions = Regions::new(self.region_order(request, now));
         let mut skipped = skipped::Skipped::default();
         loop {
-            let chosen = self.choose_beside(&skipped, &mut regions, request, now)?;
+            let chosen = self.choose_without(&skipped, &mut regions, request, now)?;
             let key = peer_load::Key::of(&chosen.entry.id);
             match self.limits.admit(key, rank, now) {
                 Ok(()) => {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Returns the best upstream beside those that were `skipped`.
-    fn choose_beside(
+    /// Chooses the best upstream that was not `skipped`.
+    fn choose_without(
         &mut self,
         skipped: &skipped::Skipped,
         regions: &mut Regions,
@@ -110,23 +110,29 @@
             return Err(skipped.refusal());
         }
         let mut others = regions.0.iter_mut();
-        let Some(own) = others.find_map(|region| self.best_in(region, request, skipped, now))
+        let Some(own) =
+            others.find_map(|region| self.best_in_region(region, request, skipped, now))
         else {
             return Err(match skipped.upstreams.is_empty() {
-                true => self.refuse(request, now),
+                true => self.no_upstream_refusal(request, now),
                 false => skipped.refusal(),
             });
         };
-        // What limits hold back in a region must not overload the others beyond the operator's cap.
+        // Requests that exceed the limits of one region must not overflow into the others beyond the
+        // operator's shift limit.
         let first = skipped.first_hall().map(|hall| self.position.region_of(hall));
-        let leaves = first.is_some_and(|first| first != self.position.region_of(&own.entry.hall));
-        if leaves && !self.overflow.take() {
+        let leaves_region =
+            first.is_some_and(|first| first != self.position.region_of(&own.entry.hall));
+        if leaves_region && !self.overflow.try_take() {
             return Err(skipped.refusal());
         }
-        // Other regions matter to a crowded one only, and cost as much to look at as the own one.
+        // Ranking another region costs as much as ranking the local one, so it is only done if the
+        // local region is congested.
         let others: Vec<candidate::Candidate> =
-            match overflow::is_crowded(&own, request.route.target_latency) {
-                true => others.filter_map(|r| self.best_in(r, request, skipped, now)).collect(),
+            match overflow::is_congested(&own, request.route.target_latency) {
+                true => {
+                    others.filter_map(|r| self.best_in_region(r, request, skipped, now)).collect()
+                }
                 false => Vec::new(),
             };
         let chosen = self.overflow.choose(&own, &others).unwrap_or(&own);
@@ -134,12 +140,12 @@
         Ok(chosen.clone())
     }
 
-    /// Returns the split over regions that the capacities of a scope call for.
+    /// Returns the target split between regions for the capacities of a scope.
     pub(super) fn region_target(&self, scope: &order::Scope, now: Instant) -> split::Split {
         let regions = self.position.allowed_regions(&scope.home_regions).into_iter();
         let capacities: Vec<share::Capacity> = regions
             .map(|region| {
-                let slots = self.slots(&scope.service, &region, now);
+                let slots = self.region_slots(&scope.service, &region, now);
                 share::Capacity { region, slots }
             })
             .collect();
@@ -148,19 +154,20 @@
         let is_far = self.distances.get(&scope.service).is_some_and(|d| d.is_far(own));
         match (is_far, self.regions.get(scope)) {
             (true, Some(rotation)) => {
-                let kept = f64::from(rotation.split().share(own)) / f64::from(fraction::WHOLE);
-                distance::keep(own, &balanced, kept, self.used(&scope.service, own, now))
+                let current = f64::from(rotation.split().share(own)) / f64::from(fraction::WHOLE);
+                let load = self.requests_per_slot(&scope.service, own, now);
+                distance::raise_own_share(own, &balanced, current, load)
             }
             _ => balanced,
         }
     }
 
-    /// Returns the requests a slot of a region's upstreams that take work.
-    fn used(&self, service: &id::Service, region: &id::Region, now: Instant) -> f64 {
+    /// Returns the mean number of requests per slot of the upstreams in a region that accept requests.
+    fn requests_per_slot(&self, service: &id::Service, region: &id::Region, now: Instant) -> f64 {
         let of_region = self.upstreams.of_region(service, region);
         let working = of_region.filter(|u| eligibility::takes_work(u, &self.evacuated, now));
         let requests: f64 = working.map(|u| u.load.requests(now)).sum();
-        requests / self.slots(service, region, now).max(1.0)
+        requests / self.region_slots(service, region, now).max(1.0)
     }
 
     fn region_order(&mut self, request: &request::Request<'_>, now: Instant) -> Vec<id::Region> {
@@ -175,23 +182,23 @@
         rotation.order(request, allowed)
     }
 
-    /// Returns the slots of a region's upstreams that take work.
-    fn slots(&self, service: &id::Service, region: &id::Region, now: Instant) -> f64 {
+    /// Returns the effective slots of the upstreams in a region that accept requests.
+    fn region_slots(&self, service: &id::Service, region: &id::Region, now: Instant) -> f64 {
         let of_region = self.upstreams.of_region(service, region);
         let working = of_region.filter(|u| eligibility::takes_work(u, &self.evacuated, now));
         let work = self.work.get(service).copied().unwrap_or_default().mean().0;
-        working.map(|u| self.room(u, work, now)).sum()
+        working.map(|u| self.effective_slots(u, work, now)).sum()
     }
 
-    /// Returns the slots that an upstream adds to its region's, where a request takes `work` seconds.
-    fn room(&self, upstream: &upstream::Upstream, work: f64, now: Instant) -> f64 {
+    /// Returns the slots that an upstream contributes to its region if a request takes `work` seconds.
+    fn effective_slots(&self, upstream: &upstream::Upstream, work: f64, now: Instant) -> f64 {
         let is_cold = upstream.slow_start.is_cold(now);
         let slots = share::effective_slots(upstream.entry.slots, is_cold);
         let limit = self.limits.account(upstream.key).map(|account| account.quota.rate);
         limit.map_or(slots, |rate| share::limited_slots(slots, rate, work))
     }
 
-    fn best_in(
+    fn best_in_region(
         &mut self,
         region: &mut Region,
         request: &request::Request<'_>,
@@ -199,24 +206,24 @@
         now: Instant,
     ) -> Option<candidate::Candidate> {
         if region.ranking.is_none() {
-            region.ranking = Some(self.rank(&region.name, request, now));
+            region.ranking = Some(self.rank_upstreams(&region.name, request, now));
             region.avoided = self.avoided(&region.name, request, now);
         }
         let ranking = region.ranking.as_ref()?;
         let best = ranking.best(skipped)?;
         let distance = self.distances.get(request.service);
-        let way = distance.map(|d| d.way(&self.position.region, &region.name));
-        let done = best.done.0 + way.map_or(0.0, |way| way.0);
-        Some(candidate::Candidate { done: seconds::Seconds(done), ..best })
+        let extra = distance.map(|d| d.extra_latency(&self.position.region, &region.name));
+        let mean_latency = best.mean_latency.0 + extra.map_or(0.0, |extra| extra.0);
+        Some(candidate::Candidate { mean_latency: seconds::Seconds(mean_latency), ..best })
     }
 
-    fn rank(
+    fn rank_upstreams(
         &mut self,
         region: &id::Region,
         request: &request::Request<'_>,
         now: Instant,
     ) -> selection::Ranking {
-        self.upstreams.prepare(request.service, region, request.key);
+        self.upstreams.prepare_order(request.service, region, request.key);
         let work = self.work.get(request.service).copied().unwrap_or_default();
         let rules = self.eligibility(now);
         let preferred = self.upstreams.preferred(request.service, region, request.key);
@@ -224,7 +231,7 @@
         selection::Ranking::new(eligible, request, work, self.priorities.rank(request), now)
     }
 
-    /// Returns the upstream that the request's object prefers, where it said that it leaves, or rests.
+    /// Returns the object's preferred upstream in a region, if it is leaving or resting.
     fn avoided(
         &self,
         region: &id::Region,
@@ -232,25 +239,29 @@
         now: Instant,
     ) -> Option<id::Upstream> {
         let first = self.upstreams.preferred(request.service, region, request.key).next()?;
-        let is_avoided = first.says_leaving || first.is_resting(now);
+        let is_avoided = first.announced_leaving || first.is_resting(now);
         is_avoided.then(|| first.entry.id.clone())
     }
 
-    /// Returns the refusal of a request that no upstream may take.
-    fn refuse(&mut self, request: &request::Request<'_>, now: Instant) -> refusal::Refusal {
+    /// Returns the refusal for a request that no upstream may take.
+    fn no_upstream_refusal(
+        &mut self,
+        request: &request::Request<'_>,
+        now: Instant,
+    ) -> refusal::Refusal {
         let exclusions = self.exclusions(request, now);
-        match self.rest_left(request, exclusions, now) {
+        match self.retry_after_rest(request, exclusions, now) {
             Some(retry_after) => refusal::Refusal::Resting { retry_after, exclusions },
             None => refusal::Refusal::NoUpstream(exclusions),
         }
     }
 
-    /// Returns after which time the caller of a request may return where all upstreams that would take it rest.
+    /// Returns the retry delay for a request if all upstreams that could take it are resting.
     pub fn all_rest(&mut self, request: &request::Request<'_>, now: Instant) -> Option<Duration> {
-        self.rest_left(request, self.exclusions(request, now), now)
+        self.retry_after_rest(request, self.exclusions(request, now), now)
     }
 
-    fn rest_left(
+    fn retry_after_rest(
         &mut self,
         request: &request::Request<'_>,
         exclusions: refusal::Exclusions,
@@ -268,7 +279,7 @@
         Some(self.rests.retry_after(earliest, now))
     }
 
-    /// Counts the upstreams of the service by why they may not take the request.
+    /// Counts the upstreams of the service by the reason why they may not take the request.
     fn exclusions(&self, request: &request::Request<'_>, now: Instant) -> refusal::Exclusions {
         self.eligibility(now).count(self.upstreams.of_service(request.service), request)
     }
--- a/crates/steer/src/dispatch/dispatcher/mod.rs
+++ b/crates/steer/src/dispatch/dispatcher/mod.rs
@@ -1,9 +1,9 @@
-//! Dispatcher of a gateway: the state that the rules decide on.
+//! Dispatcher of a gateway: the state on which the dispatch rules operate.
 //!
-//! Owns what a node knows: configuration, upstreams, splits, budgets, reports of peers. Decides nothing by
-//! itself: `choice` walks through the rules in the order in which a request meets them, and each
-//! event (a try's end, a change of discovery, a report of a peer) goes to the rule that it concerns. Reads
-//! no clock; the present is passed in.
+//! Owns the node's configuration, upstreams, splits, budgets and peer reports. It implements no rule
+//! itself: `choice` applies the rules in order, and each event (the end of an attempt, a change in
+//! service discovery, a peer report) is passed to the rules it affects. Never reads the clock; the
+//! current time is passed in.
 
 mod choice;
 mod peers;
@@ -38,7 +38,7 @@
 use crate::dispatch::upstream;
 use crate::dispatch::upstream_limit;
 
-/// Chooses an upstream for each request, from what its node knows.
+/// Chooses an upstream for each request from the local state of its node.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
     position: position::Position,
@@ -63,7 +63,7 @@
 }
 
 impl Dispatcher {
-    /// Makes a dispatcher that knows no upstream yet.
+    /// Creates a dispatcher without upstreams.
     #[must_use]
     pub fn new(position: position::Position, bounds: bounds::Bounds) -> Self {
         let near = vec![position.node.clone()];
@@ -91,23 +91,24 @@
         }
     }
 
-    /// Replaces the configuration in force.
+    /// Replaces the configuration.
     pub fn configure(&mut self, routing: sync::Arc<routing::Routing>) {
         self.routes.retain(&routing.routes().map(|r| r.name.clone()).collect());
         self.priorities.configure(&routing);
         self.routing = routing;
     }
 
-    /// Replaces the nodes that share cold upstreams; `known` counts the nodes of the fleet.
+    /// Replaces the nodes that may own cold upstreams; `known` is the number of nodes in the fleet.
     ///
-    /// The retry budget is divided by the highest count seen, so that it never grows when nodes die.
+    /// The retry budget is divided by the highest number seen, so that a node's part does not grow
+    /// when other nodes die.
     pub fn set_nodes(&mut self, owners: slow_start_owner::Owners, known: usize, now: Instant) {
         self.max_nodes = self.max_nodes.max(owners.near.len()).max(known);
         self.owners = owners;
-        self.assign_cold(now);
+        self.assign_slow_start_owners(now);
     }
 
-    /// Applies what time alone changes: lapsed entries, old reports, moving splits.
+    /// Applies time-based changes: lapsed entries, outdated reports and moving splits.
     pub fn tick(&mut self, now: Instant) {
         self.drop_lapsed(now);
         self.expire_peer_load(now);
@@ -125,12 +126,12 @@
         }
     }
 
-    /// Returns the upstreams, for the state dump.
+    /// Iterates over the upstreams, for the state dump.
     pub fn upstreams(&self) -> impl Iterator<Item = &upstream::Upstream> {
         self.upstreams.iter()
     }
 
-    /// Returns the splits over regions in force, for the state dump.
+    /// Iterates over the current splits between regions, for the state dump.
     pub fn splits(&self) -> impl Iterator<Item = (&id::Service, &split::Split)> {
         self.regions.iter().map(|(scope, rotation)| (&scope.service, rotation.split()))
     }
--- a/crates/steer/src/dispatch/dispatcher/peers.rs
+++ b/crates/steer/src/dispatch/dispatcher/peers.rs
@@ -1,4 +1,4 @@
-//! Load of other nodes: what they report, and what this node reports to them.
+//! Peer load: the requests in flight that other nodes report, and this node's own report.
 
 use std::time::Instant;
 
@@ -8,14 +8,14 @@
 use crate::dispatch::peer_load;
 
 impl Dispatcher {
-    /// Returns what this node has in flight, by upstream.
+    /// Returns this node's requests in flight, by upstream.
     #[must_use]
     pub fn in_flight(&self) -> Vec<(peer_load::Key, u32)> {
         let busy = self.upstreams.iter().filter(|u| u.load.in_flight() > 0);
         busy.map(|u| (u.key, u.load.in_flight())).collect()
     }
 
-    /// Returns what the `wanted` ones of other nodes have in flight together, by upstream.
+    /// Returns the total requests in flight of the other nodes selected by `wanted`, by upstream.
     #[must_use]
     pub fn peer_load(
         &self,
@@ -25,7 +25,7 @@
         self.peers.sum(wanted, now)
     }
 
-    /// Replaces the report of another node's requests in flight.
+    /// Replaces another node's report of its requests in flight.
     pub fn set_peer_load(
         &mut self,
         node: id::Node,
@@ -36,17 +36,17 @@
         self.apply_peer_load(&changed);
     }
 
-    /// Drops reports that no longer count.
+    /// Drops expired reports.
     pub(super) fn expire_peer_load(&mut self, now: Instant) {
         let changed = self.peers.expire(now);
         self.apply_peer_load(&changed);
     }
 
-    /// Brings upstreams up to date whose sums over all nodes `changed`.
+    /// Updates the upstreams whose total over all other nodes `changed`.
     fn apply_peer_load(&mut self, changed: &[peer_load::Key]) {
         for key in changed {
             let requests = self.peers.total(*key);
-            self.upstreams.change_by_key(*key, |upstream| upstream.load.set_peers(requests));
+            self.upstreams.update_by_key(*key, |upstream| upstream.load.set_peers(requests));
         }
     }
 }
--- a/crates/steer/src/dispatch/dispatcher/statements.rs
+++ b/crates/steer/src/dispatch/dispatcher/statements.rs
@@ -1,9 +1,10 @@
-//! Statements: what the dispatcher learns from what upstreams say of themselves.
+//! Statements: what upstreams report about themselves in their responses.
 //!
-//! The one place that decides which of them hold. Each is about one process: what an earlier one under the same name said ends
-//! with it. Of limits the latest answer holds, whichever node got it ([`upstream_limit`]); a [`leaving`] holds
-//! until the process ends, at every node; a [`rest`](crate::dispatch::rest) for the time that it names, at the node that was asked. The load goes
-//! with the end of its try.
+//! Determines how long each statement is valid. A statement concerns one process and ends with it, so
+//! it does not apply to a later process of the same name. For limits, the latest response received by
+//! any node is valid ([`upstream_limit`]). A [`leaving`] statement is valid on all nodes until the
+//! process ends, and a [`rest`](crate::dispatch::rest) for the stated time on the node that received
+//! it. Load reports are applied at the end of the attempt instead.
 //!
 //! [`upstream_limit`]: crate::dispatch::upstream_limit
 
@@ -23,19 +24,19 @@
 use crate::dispatch::leaving;
 use crate::dispatch::upstream_limit::{self, Limits, observation};
 
-/// What a statement changed.
+/// Changes caused by a statement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Change {
-    /// How the limit changed, if it did.
+    /// Change of the limit, if any.
     pub limit: Option<observation::Change>,
-    /// Whether the upstream was not known to leave before.
+    /// Whether the upstream is leaving and was not known to be.
     pub leaves: bool,
-    /// The time for which it rests now; none where it did not ask for rest, or rests for longer already.
+    /// New duration of rest; `None` if it did not ask for rest or is already resting for longer.
     pub rest: Option<Duration>,
 }
 
 impl Dispatcher {
-    /// Records what an answer of an upstream says of the upstream; returns what that changed.
+    /// Records the statement in an upstream's response and returns the resulting changes.
     pub fn observe(
         &mut self,
         upstream: &discovery::Entry,
@@ -45,18 +46,20 @@
         let limit = self.observe_limit(upstream, statement.limit, now);
         let leaves = match statement.leaving {
             leaving_field::Field::Leaving => {
-                self.leave(&incarnation::Incarnation::of(upstream), now, None, now)
+                self.record_leaving(&incarnation::Incarnation::of(upstream), now, None, now)
             }
             leaving_field::Field::Absent | leaving_field::Field::Malformed => false,
         };
         let rest = match statement.rest {
-            rest_field::Field::Rest(rest) if !rest.is_zero() => self.rest(upstream, rest, now),
+            rest_field::Field::Rest(rest) if !rest.is_zero() => {
+                self.record_rest(upstream, rest, now)
+            }
             _ => None,
         };
         Change { limit, leaves, rest }
     }
 
-    /// Records what an answer of an upstream names as its limit; returns how the limit changed, if it did.
+    /// Records the limit in an upstream's response and returns the change, if any.
     pub fn observe_limit(
         &mut self,
         upstream: &discovery::Entry,
@@ -67,7 +70,8 @@
         self.limits.observe(known.key, field, now)
     }
 
-    /// Records what another node, or a sum of several, reported of limits; returns the known upstreams whose limits changed.
+    /// Records limits reported by another node, or aggregated from several, and returns the known
+    /// upstreams whose limits changed.
     pub fn receive_limits(
         &mut self,
         node: &id::Node,
@@ -82,7 +86,8 @@
         known.collect()
     }
 
-    /// Records what another node, or a sum of several, announced of processes that leave; returns those that were not known to.
+    /// Records leaving processes announced by another node, or aggregated from several, and returns
+    /// those that were not known to be leaving.
     pub fn receive_leavings<'a>(
         &mut self,
         node: &id::Node,
@@ -91,57 +96,59 @@
     ) -> Vec<&'a leaving::Announcement> {
         let is_new = |announcement: &&leaving::Announcement| {
             let at = now.checked_sub(announcement.age).unwrap_or(now);
-            self.leave(&announcement.incarnation, at, Some(node), now)
+            self.record_leaving(&announcement.incarnation, at, Some(node), now)
         };
         announcements.iter().filter(is_new).collect()
     }
 
-    /// Sets how many other nodes are known or listed, and whether this node, or one that it reaches, reaches the store.
+    /// Sets the number of other nodes that are known or listed, and whether the store is reachable
+    /// from this node or a node it can reach.
     pub fn set_contact(&mut self, others: usize, is_store_known: bool) {
         self.limits.set_contact(others, is_store_known);
     }
 
-    /// Returns the limits that upstreams name, to report them.
+    /// Returns the limits of upstreams for reporting them to other nodes.
     pub fn limits_mut(&mut self) -> &mut Limits {
         &mut self.limits
     }
 
-    /// Returns what is known of the limits that upstreams name.
+    /// Returns the limits of upstreams.
     #[must_use]
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Returns a digest of the known upstreams that leave.
+    /// Returns a digest of the known upstreams that are leaving.
     #[must_use]
     pub fn leaving_digest(&self) -> repair::Digest {
-        repair::Digest::of(self.leaving().map(|incarnation| incarnation.hash()))
+        repair::Digest::of(self.leaving_incarnations().map(|incarnation| incarnation.hash()))
     }
 
-    /// Returns the known upstreams that leave, for a node that may not know it.
+    /// Returns announcements of all known upstreams that are leaving, for a node that may have missed
+    /// some.
     #[must_use]
     pub fn all_leavings(&self, now: Instant) -> Vec<leaving::Announcement> {
         let announcement = |incarnation| self.leavings.announcement(incarnation, now);
-        self.leaving().filter_map(announcement).collect()
+        self.leaving_incarnations().filter_map(announcement).collect()
     }
 
-    fn leaving(&self) -> impl Iterator<Item = incarnation::Incarnation> {
-        let leaving = self.upstreams.iter().filter(|upstream| upstream.says_leaving);
+    fn leaving_incarnations(&self) -> impl Iterator<Item = incarnation::Incarnation> {
+        let leaving = self.upstreams.iter().filter(|upstream| upstream.announced_leaving);
         leaving.map(|upstream| incarnation::Incarnation::of(&upstream.entry))
     }
 
-    /// Returns the processes that were observed to leave, to announce them.
+    /// Returns the leaving processes for announcing them to other nodes.
     pub fn leavings_mut(&mut self) -> &mut leaving::Leavings {
         &mut self.leavings
     }
 
-    /// Returns the processes that were observed to leave.
+    /// Returns the leaving processes.
     #[must_use]
     pub fn leavings(&self) -> &leaving::Leavings {
         &self.leavings
     }
 
-    fn leave(
+    fn record_leaving(
         &mut self,
         incarnation: &incarnation::Incarnation,
         at: Instant,
@@ -152,25 +159,25 @@
         if let Some(known) = self.upstreams.get_mut(&incarnation.upstream)
             && known.entry.born == incarnation.born
         {
-            known.says_leaving = true;
+            known.announced_leaving = true;
         }
         is_new
     }
 
-    fn rest(
+    fn record_rest(
         &mut self,
         upstream: &discovery::Entry,
         rest: Duration,
         now: Instant,
     ) -> Option<Duration> {
         let incarnation = incarnation::Incarnation::of(upstream);
-        let before = self.rests.until(&incarnation);
+        let previous = self.rests.until(&incarnation);
         let until = self.rests.record(&incarnation, rest, now);
         if let Some(known) = self.upstreams.get_mut(&upstream.id)
             && known.entry.born == upstream.born
         {
             known.rests_until = Some(until);
         }
-        before.is_none_or(|before| before < until).then_some(rest)
+        previous.is_none_or(|previous| previous < until).then_some(rest)
     }
 }
--- a/crates/steer/src/dispatch/dispatcher/tries.rs
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -1,4 +1,5 @@
-//! Tries: what the dispatcher learns from the start and the end of each, and the retry budget.
+//! Attempts: state updates when a request is sent to an upstream and when it ends, and the retry
+//! budget.
 
 use std::time::{Duration, Instant};
 
@@ -17,15 +18,16 @@
 use crate::dispatch::upstream;
 
 impl Dispatcher {
-    /// Takes one retry to `service` from the budget; returns false when none is left.
+    /// Takes one retry from the budget of `service`; returns false if none is left.
     pub fn may_retry(&mut self, service: &id::Service, now: Instant) -> bool {
         let allowance = self.allowance();
         self.budgets.entry(service.clone()).or_default().retry(allowance, now)
     }
 
-    /// Records the start of a try; `is_first` unless the request was sent before.
+    /// Records the start of an attempt; `is_first` is false for retries.
     ///
-    /// Returns the upstream's crowding, which the try's end needs; 1 when the upstream is not known.
+    /// Returns the upstream's crowding, to be passed in the attempt's outcome; 1 if the upstream is
+    /// unknown.
     pub fn sent(&mut self, upstream: &id::Upstream, is_first: bool, now: Instant) -> f64 {
         let allowance = self.allowance();
         let Some(upstream) = self.upstreams.get_mut(upstream) else { return 1.0 };
@@ -44,9 +46,9 @@
         crowding
     }
 
-    /// Records how a try ended that [`Dispatcher::sent`] announced `waited` ago.
+    /// Records the outcome of an attempt whose start was recorded by [`Dispatcher::sent`] `waited` ago.
     ///
-    /// A try at an upstream that is gone since, or that started again, changes nothing.
+    /// Ignored if the upstream has been removed or restarted since.
     pub fn ended(
         &mut self,
         upstream: &discovery::Entry,
@@ -81,7 +83,7 @@
             }
             outcome::Outcome::Replaced => upstream.is_replaced = true,
             outcome::Outcome::NotSent => upstream.health.unreachable(now),
-            // A refusal that proves nothing, with which it asked for rest.
+            // A resting upstream refused the request without proof that it was not executed.
             outcome::Outcome::Broken if upstream.is_resting(now) => {}
             outcome::Outcome::Broken => upstream.health.broken(now),
             outcome::Outcome::TimedOut => upstream.health.timed_out(waited, work.mean(), now),
@@ -107,7 +109,7 @@
     }
 }
 
-/// Records how long a request took without waiting, where its upstream knew as much as `sight` says.
+/// Records the processing time of a request, without queueing, for the given `sight`.
 fn record_time(
     work: &mut expected_work::Work,
     distance: &mut distance::Distance,
@@ -117,6 +119,6 @@
 ) {
     work.record(time, sight);
     if sight <= seen_objects::Sight::Preferred {
-        distance.record_answer(region, time);
+        distance.record_response(region, time);
     }
 }
--- a/crates/steer/src/dispatch/eligibility.rs
+++ b/crates/steer/src/dispatch/eligibility.rs
@@ -1,7 +1,7 @@
-//! Eligibility: whether an upstream may take a request at all, and why not.
+//! Eligibility: whether an upstream may take a request, and the reason if it may not.
 //!
-//! Owns nothing. Relies on the upstream's state, the evacuated halls, the request's [`homes`] and
-//! [`slow_start`]. [`selection`] then picks among the eligible upstreams of a region.
+//! Stateless; depends on the upstream's state, the evacuated halls, the request's [`homes`] and
+//! [`slow_start`]. [`selection`] then chooses among the eligible upstreams of a region.
 //!
 //! [`homes`]: crate::dispatch::homes
 //! [`selection`]: crate::dispatch::selection
@@ -17,36 +17,37 @@
 use crate::dispatch::slow_start;
 use crate::dispatch::upstream;
 
-/// Why an upstream may not take a request, in the order in which the reasons are checked.
+/// Reason why an upstream may not take a request, in evaluation order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exclusion {
-    /// Its region may not serve the request.
+    /// Its region is not among the request's home regions.
     Outside,
-    /// It drains, it said that it leaves, its entry has vanished for good, or another upstream has its address.
+    /// It is draining, it announced that it is leaving, its entry has expired, or another upstream
+    /// answers at its address.
     Leaving,
     /// Its hall is evacuated.
     Evacuated,
-    /// It wants no requests from this node for now.
+    /// It asked this node to send no requests for a while.
     Resting,
-    /// The request was sent to it before.
+    /// It was already chosen for the request.
     Tried,
-    /// It is cold, and this node may not send it one more request now.
+    /// It is cold and slow start does not allow this node another request now.
     Cold,
 }
 
-/// What decides whether upstreams are eligible.
+/// Inputs to the eligibility check.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules<'a> {
     /// Evacuated halls.
     pub evacuated: &'a collections::BTreeSet<id::Hall>,
-    /// Configuration in force.
+    /// Current configuration.
     pub routing: &'a routing::Routing,
-    /// The present.
+    /// Current time.
     pub now: Instant,
 }
 
 impl Rules<'_> {
-    /// Returns why `upstream` may not take `request`; none when it may.
+    /// Returns why `upstream` may not take `request`, or `None` if it may.
     #[must_use]
     pub fn exclusion(
         &self,
@@ -62,12 +63,12 @@
             () if self.evacuated.contains(&upstream.entry.hall) => Some(Exclusion::Evacuated),
             () if upstream.is_resting(self.now) => Some(Exclusion::Resting),
             () if request.tried.contains(&upstream.entry.id) => Some(Exclusion::Tried),
-            () if !self.may_warm(upstream) => Some(Exclusion::Cold),
+            () if !self.slow_start_allows(upstream) => Some(Exclusion::Cold),
             () => None,
         }
     }
 
-    /// Counts `upstreams` by why they may not take `request`.
+    /// Counts `upstreams` by the reason why they may not take `request`.
     pub fn count<'a>(
         &self,
         upstreams: impl Iterator<Item = &'a upstream::Upstream>,
@@ -89,19 +90,21 @@
         counts
     }
 
-    /// Returns whether slow start lets this node send one more request to `upstream`.
-    fn may_warm(&self, upstream: &upstream::Upstream) -> bool {
+    /// Returns whether slow start allows this node to send another request to `upstream`.
+    fn slow_start_allows(&self, upstream: &upstream::Upstream) -> bool {
         if !upstream.slow_start.is_cold(self.now) {
             return true;
         }
         match slow_start::rate(self.routing, &upstream.entry.service) {
             None => true,
-            Some(rate) => upstream.is_owned && upstream.slow_start.has_room(rate, self.now),
+            Some(rate) => {
+                upstream.is_slow_start_owner && upstream.slow_start.has_room(rate, self.now)
+            }
         }
     }
 }
 
-/// Returns whether an upstream takes new work of this node now, whatever the request.
+/// Returns whether an upstream currently accepts new requests from this node, whatever the request.
 #[must_use]
 pub fn takes_work(
     upstream: &upstream::Upstream,
--- a/crates/steer/src/dispatch/homes.rs
+++ b/crates/steer/src/dispatch/homes.rs
@@ -1,7 +1,7 @@
-//! Homes: the regions that may serve a request, by its route and by its organisation.
+//! Home regions: the regions that may serve a request, as configured for its route and organisation.
 //!
-//! Owns nothing. Where both name regions, both bind: a request of an organisation goes to a region that its route may
-//! use too, or nowhere.
+//! Stateless. If both the route and the organisation name home regions, only regions named by both
+//! may serve the request.
 
 use std::borrow;
 
@@ -9,10 +9,11 @@
 use model::organisation;
 use model::route;
 
-/// Regions that may serve a request; all when empty.
+/// Regions that may serve a request; empty means all regions.
 pub type Homes<'a> = borrow::Cow<'a, [id::Region]>;
 
-/// Returns the regions that may serve a request; none when no region may.
+/// Returns the regions that may serve a request, or `None` if the route and the organisation have no
+/// home region in common.
 #[must_use]
 pub fn of<'a>(
     route: &'a route::Route,
@@ -22,10 +23,11 @@
     let of_organisation = organisation.map_or(&[][..], |o| o.home_regions.as_slice());
     match (of_route, of_organisation) {
         (homes, []) | ([], homes) => Some(borrow::Cow::Borrowed(homes)),
-        (first, second) => {
-            let both = first.iter().filter(|region| second.contains(region)).cloned();
-            let both: Vec<id::Region> = both.collect();
-            (!both.is_empty()).then_some(borrow::Cow::Owned(both))
+        (route_homes, organisation_homes) => {
+            let common =
+                route_homes.iter().filter(|region| organisation_homes.contains(region)).cloned();
+            let common: Vec<id::Region> = common.collect();
+            (!common.is_empty()).then_some(borrow::Cow::Owned(common))
         }
     }
 }
--- a/crates/steer/src/dispatch/mod.rs
+++ b/crates/steer/src/dispatch/mod.rs
@@ -1,21 +1,23 @@
-//! Dispatch: which upstream takes a request that a gateway sends by itself.
+//! Dispatch: selects the upstream for a request that a gateway sends directly.
 //!
-//! Each node decides alone, from the entries of service discovery, the load that answers and other nodes
-//! report, and its own requests in flight. Requests for one object go to the same upstream as long as
-//! that is not overloaded. [`dispatcher`] owns the state, with the upstreams in an [`index`]; each rule stands in a module
-//! of its own.
+//! Each node decides independently, based on service discovery entries, the load reported in
+//! responses and by other nodes, and its own requests in flight. Requests for the same object go to
+//! the same upstream unless it is overloaded. [`dispatcher`] owns the state and keeps the upstreams
+//! in an [`index`]; each rule has its own module.
 //!
-//! In the order in which a request meets them: [`homes`] (which regions may serve it), [`quota`] (whether its
-//! organisation may send it), [`quarantine`] (whether it crashes the upstreams that run it), [`route`] (which service), [`region`] (which region),
-//! [`eligibility`] (which upstreams may take it), [`preference`], [`selection`] and [`affinity`] (which one is best),
-//! [`overflow`] (whether it leaves its region), [`admission`] (whether it may wait), [`retry`] and
-//! [`retry_budget`] (whether it is sent again), [`give_up`] (what its caller is answered).
+//! Rules in evaluation order: [`homes`] (which regions may serve the request), [`quota`] (whether
+//! its organisation may send it), [`quarantine`] (whether it crashes upstreams), [`route`] (which
+//! service), [`region`] (which region), [`eligibility`] (which upstreams may take it),
+//! [`preference`], [`selection`] and [`affinity`] (which upstream is best), [`overflow`] (whether it
+//! leaves its region), [`admission`] (whether it may wait), [`retry`] and [`retry_budget`] (whether
+//! it is retried), [`give_up`] (the error response to its caller).
 //!
-//! What the rules know of an upstream: [`ejection`], [`failure_rate`], [`silence`], [`work_time`] (together
-//! [`health`]), [`slow_start`] and its owner, [`expected_work`], [`reported_load`], [`peer_load`],
-//! [`lapsed`] entries, and what it says of itself: [`upstream_limit`], [`leaving`], [`rest`].
+//! State per upstream: [`ejection`], [`failure_rate`], [`silence`] and [`work_time`] (combined in
+//! [`health`]), [`slow_start`] and [`slow_start_owner`], [`expected_work`], [`reported_load`],
+//! [`peer_load`], [`lapsed`] entries, and the upstream's own statements: [`upstream_limit`],
+//! [`leaving`] and [`rest`].
 //!
-//! What nodes do for each other and for callers: [`fleet`], and [`stop`] for a planned stop.
+//! [`fleet`] covers coordination between nodes, and [`stop`] a planned shutdown.
 
 pub mod admission;
 pub mod affinity;
--- a/crates/steer/src/dispatch/position.rs
+++ b/crates/steer/src/dispatch/position.rs
@@ -1,22 +1,22 @@
-//! Position: where a node stands among the halls and regions of the fleet.
+//! Position: a node's own region and the halls and regions of the fleet.
 
 use std::collections;
 
 use model::id;
 
-/// Where a node stands. Set at the start from its settings, and never changed.
+/// A node's location in the fleet, read from its settings at startup and fixed afterwards.
 #[derive(Clone, Debug)]
 pub struct Position {
-    /// Its name.
+    /// The node's name.
     pub node: id::Node,
-    /// Its region.
+    /// The node's region.
     pub region: id::Region,
-    /// Regions of all halls.
+    /// The region of each hall of the fleet.
     pub halls: collections::BTreeMap<id::Hall, id::Region>,
 }
 
 impl Position {
-    /// Returns the region of a hall; an unlisted hall is a region of its own.
+    /// Returns the region of a hall; a hall that is not listed is treated as a separate region.
     #[must_use]
     pub fn region_of(&self, hall: &id::Hall) -> id::Region {
         match self.halls.get(hall) {
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Returns the regions that may serve a route with `homes`; all regions when it has none.
+    /// Returns the regions that may serve requests with these home regions; all regions if `homes` is
+    /// empty.
     #[must_use]
     pub fn allowed_regions(&self, homes: &[id::Region]) -> Vec<id::Region> {
         let all: collections::BTreeSet<_> = self.halls.values().cloned().collect();
--- a/crates/steer/src/dispatch/preference.rs
+++ b/crates/steer/src/dispatch/preference.rs
@@ -1,7 +1,8 @@
-//! Preference: the order in which an object prefers the upstreams of one service in one region.
+//! Preference: an object's order of preference among the upstreams of one service in one region.
 //!
-//! Owns the members of one such group, and the first members for the latest objects, so that only the first request
-//! for an object looks at all members. Relies on [`affinity`] for the ranks, by which every node orders alike.
+//! Owns the members of one such group and caches the most preferred members per object, so that only
+//! the first request for an object visits all members. [`affinity`] provides the scores, which are
+//! the same on every node.
 //!
 //! [`affinity`]: crate::dispatch::affinity
 
@@ -12,17 +13,17 @@
 
 use crate::dispatch::affinity;
 
-/// First members that are kept in order for an object.
+/// Number of most preferred members that are cached for an object.
 ///
-/// Not measured; four times those among which a request's upstream is chosen, since some may not take it.
-const MAX_ORDERED: usize = 32;
+/// Four times `selection::MAX_CANDIDATES`, since some members may not be eligible.
+const MAX_CACHED_MEMBERS: usize = 32;
 
-/// Objects whose order is kept for one group; all are dropped when it is reached.
+/// Number of objects whose order is cached per group; the cache is cleared when it is full.
 ///
-/// Not measured; above the objects of a known deployment (672), and some 200 KB a group.
-const MAX_OBJECTS: usize = 1_024;
+/// Exceeds the 672 objects of a known deployment and takes about 200 KB per group.
+const MAX_CACHED_OBJECTS: usize = 1_024;
 
-/// The upstreams of one service in one region, by their places in a list of all.
+/// The upstreams of one service in one region, as positions in the index's vector of upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Group {
     members: Vec<(id::Upstream, usize)>,
@@ -30,48 +31,49 @@
 }
 
 impl Group {
-    /// Adds a member.
-    pub fn add(&mut self, name: id::Upstream, place: usize) {
-        self.members.push((name, place));
+    /// Adds the upstream at `position` of the index.
+    pub fn add(&mut self, name: id::Upstream, position: usize) {
+        self.members.push((name, position));
         self.orders.clear();
     }
 
-    /// Returns the members, in no particular order.
+    /// Iterates over the positions of all members, in no particular order.
     pub fn members(&self) -> impl Iterator<Item = usize> {
-        self.members.iter().map(|(_, place)| *place)
+        self.members.iter().map(|(_, position)| *position)
     }
 
-    /// Works out the order of the object of `key`, unless it is known.
+    /// Computes the order of preference of the object `key`, unless it is cached.
     pub fn prepare(&mut self, key: u64) {
         if self.orders.contains_key(&key) {
             return;
         }
-        if self.orders.len() >= MAX_OBJECTS {
+        if self.orders.len() >= MAX_CACHED_OBJECTS {
             self.orders.clear();
         }
-        let order = self.first_members(key);
+        let order = self.most_preferred(key);
         self.orders.insert(key, order);
     }
 
-    /// Returns all members, in the order in which the object of `key` prefers them.
+    /// Iterates over the positions of all members in the order of preference of the object `key`.
     ///
-    /// Beyond the first ones, and for an object that was not [prepared](Self::prepare), in no particular order.
+    /// Members beyond the cached ones come last, in no particular order. So do all members if the
+    /// order was not [prepared](Self::prepare).
     pub fn order(&self, key: u64) -> impl Iterator<Item = usize> {
         let first = self.orders.get(&key).map_or(&[][..], |order| order);
-        let others = self.members().filter(move |place| !first.contains(place));
+        let others = self.members().filter(move |position| !first.contains(position));
         first.iter().copied().chain(others)
     }
 
-    fn first_members(&self, key: u64) -> Box<[usize]> {
-        let rank = |(name, place): &(id::Upstream, usize)| {
-            (cmp::Reverse(affinity::rank(key, name)), *place)
+    fn most_preferred(&self, key: u64) -> Box<[usize]> {
+        let rank = |(name, position): &(id::Upstream, usize)| {
+            (cmp::Reverse(affinity::upstream_score(key, name)), *position)
         };
         let mut ranked: Vec<_> = self.members.iter().map(rank).collect();
-        if ranked.len() > MAX_ORDERED {
-            ranked.select_nth_unstable(MAX_ORDERED);
-            ranked.truncate(MAX_ORDERED);
+        if ranked.len() > MAX_CACHED_MEMBERS {
+            ranked.select_nth_unstable(MAX_CACHED_MEMBERS);
+            ranked.truncate(MAX_CACHED_MEMBERS);
         }
         ranked.sort_unstable();
-        ranked.into_iter().map(|(_, place)| place).collect()
+        ranked.into_iter().map(|(_, position)| position).collect()
     }
 }
--- a/crates/steer/src/dispatch/region/distance.rs
+++ b/crates/steer/src/dispatch/region/distance.rs
@@ -1,8 +1,8 @@
-//! Distance: whether answers of other regions come too late, so that the own region keeps more.
+//! Distance: raises the local region's share if responses from all other regions are too late.
 //!
-//! Owns, for one service, the mean time of answers by region and the mean target latency of its requests. Relies on
-//! [`share`] for the split that loads all regions alike; where all other regions answer late, the own region is
-//! filled further than that before requests leave.
+//! Owns, for one service, the mean response time of each region and the mean target latency of its
+//! requests. [`share`] computes the split that loads all regions equally; if all other regions respond
+//! too late, the local region is loaded beyond that before requests leave it.
 //!
 //! [`share`]: crate::dispatch::region::share
 
@@ -15,79 +15,91 @@
 use crate::common::split;
 use crate::dispatch::seconds;
 
-/// Weight of one answer in the means. Not measured alone; twenty answers make up most of a mean.
-const ANSWER_WEIGHT: f64 = 0.05;
+/// Weight of one sample in the moving averages; about twenty samples determine most of the value.
+const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Requests a slot to which the own region is filled where all others answer late.
+/// Target number of requests per slot in the local region if all others respond too late.
 ///
-/// Measured: 34.3 % to 60 % of a small region's requests in time with regions 90 ms apart (`steer/tests/load`), and
-/// docs/measurements/worst-load.md, row "a far region keeps more" (0.85 and 1.1 compared).
-const FILLED: f64 = 1.1;
+/// With regions 90 ms apart, raises a small region's requests in time from 34.3 % to 60 %
+/// (`steer/tests/load`); see also docs/measurements/worst-load.md, row "a far region keeps more"
+/// (0.85 and 1.1 compared).
+const TARGET_REQUESTS_PER_SLOT: f64 = 1.1;
 
-/// Largest factor by which the kept share is to grow or shrink from where it stands.
+/// Maximum factor between the local region's current share and its target.
 ///
-/// Not measured; bounds what one reading of the loads does. The limit on shifts bounds the speed.
-const MAX_FACTOR: f64 = 1.25;
+/// Bounds the effect of a single load sample; `region::shift` bounds the speed of the change.
+const MAX_SHARE_FACTOR: f64 = 1.25;
 
-/// Mean time of answers by region, and mean target latency, of one service.
+/// Mean response time by region and mean target latency of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Distance {
-    answers: collections::BTreeMap<id::Region, f64>,
+    /// Mean response time of each region, in seconds.
+    response_times: collections::BTreeMap<id::Region, f64>,
+    /// Mean target latency, in seconds.
     target: Option<f64>,
 }
 
 impl Distance {
-    /// Records an answer of an upstream in `region` that did not wait and probably knew the object.
-    pub fn record_answer(&mut self, region: &id::Region, time: seconds::Seconds) {
-        match self.answers.get_mut(region) {
-            Some(mean) => *mean += (time.0 - *mean) * ANSWER_WEIGHT,
+    /// Records the response time, without queueing, of an upstream in `region` that probably had the
+    /// object cached.
+    pub fn record_response(&mut self, region: &id::Region, time: seconds::Seconds) {
+        match self.response_times.get_mut(region) {
+            Some(mean) => *mean += (time.0 - *mean) * SAMPLE_WEIGHT,
             None => {
-                self.answers.insert(region.clone(), time.0);
+                self.response_times.insert(region.clone(), time.0);
             }
         }
     }
 
-    /// Records a request with this target latency.
+    /// Records the target latency of a request.
     pub fn record_request(&mut self, target: Duration) {
         let target = target.as_secs_f64();
         let mean = self.target.get_or_insert(target);
-        *mean += (target - *mean) * ANSWER_WEIGHT;
+        *mean += (target - *mean) * SAMPLE_WEIGHT;
     }
 
-    /// Returns how much longer answers of `region` take than those of `own`; zero where one is not known.
+    /// Returns how much longer responses from `region` take than those from `own`; zero if either is
+    /// unknown.
     #[must_use]
-    pub fn way(&self, own: &id::Region, region: &id::Region) -> seconds::Seconds {
-        match (self.answers.get(own), self.answers.get(region)) {
-            (Some(own), Some(there)) => seconds::Seconds((there - own).max(0.0)),
+    pub fn extra_latency(&self, own: &id::Region, region: &id::Region) -> seconds::Seconds {
+        match (self.response_times.get(own), self.response_times.get(region)) {
+            (Some(own), Some(other)) => seconds::Seconds((other - own).max(0.0)),
             _ => seconds::Seconds(0.0),
         }
     }
 
-    /// Returns whether the own region answers in time and all others, as far as known, do not.
+    /// Returns whether the local region responds in time but no other region known does.
     #[must_use]
     pub fn is_far(&self, own: &id::Region) -> bool {
         let Some(target) = self.target else { return false };
-        let is_late = |region: &id::Region| self.answers.get(region).is_some_and(|t| *t > target);
-        let mut others = self.answers.keys().filter(|region| *region != own).peekable();
+        let is_late =
+            |region: &id::Region| self.response_times.get(region).is_some_and(|t| *t > target);
+        let mut others = self.response_times.keys().filter(|region| *region != own).peekable();
         !is_late(own) && others.peek().is_some() && others.all(is_late)
     }
 }
 
-/// Returns `target` with a greater share for `own`, as long as that region has room.
+/// Returns `target` with a larger share for the region `own`, as far as its load permits.
 ///
-/// `kept` is the share that it keeps now, and `used` its requests a slot.
+/// `current` is the region's present share and `load` its requests per slot.
 #[must_use]
-pub fn keep(own: &id::Region, target: &split::Split, kept: f64, used: f64) -> split::Split {
+pub fn raise_own_share(
+    own: &id::Region,
+    target: &split::Split,
+    current: f64,
+    load: f64,
+) -> split::Split {
     let whole = f64::from(fraction::WHOLE);
     let balanced = f64::from(target.share(own)) / whole;
-    let factor = (FILLED / used.max(f64::EPSILON)).clamp(1.0 / MAX_FACTOR, MAX_FACTOR);
-    let wanted = (kept * factor).clamp(balanced, 1.0);
-    let others = (1.0 - wanted) / (1.0 - balanced).max(f64::EPSILON);
+    let factor = (TARGET_REQUESTS_PER_SLOT / load.max(f64::EPSILON))
+        .clamp(1.0 / MAX_SHARE_FACTOR, MAX_SHARE_FACTOR);
+    let own_share = (current * factor).clamp(balanced, 1.0);
+    let others_factor = (1.0 - own_share) / (1.0 - balanced).max(f64::EPSILON);
     let weights: Vec<_> = target
         .parts()
         .map(|(region, part)| {
             let part = f64::from(part) / whole;
-            (region.clone(), if region == own { wanted } else { part * others })
+            (region.clone(), if region == own { own_share } else { part * others_factor })
         })
         .collect();
     split::Split::new(&weights)
--- a/crates/steer/src/dispatch/region/mod.rs
+++ b/crates/steer/src/dispatch/region/mod.rs
@@ -1,7 +1,8 @@
-//! Region: which region takes a request, and how fast the shares of regions move.
+//! Region: which region serves a request, and how fast the regions' shares change.
 //!
-//! [`share`] sets the target of each region, [`shift`] limits how fast a split moves toward it, and
-//! [`order`] turns the split into the order of regions for one request.
+//! [`share`] computes the target share of each region, [`distance`] raises the local one if the other
+//! regions respond too late, [`shift`] limits how fast a split moves toward its target, and [`order`]
+//! derives the order of regions for a request from the split.
 
 pub mod distance;
 pub mod order;
--- a/crates/steer/src/dispatch/region/order.rs
+++ b/crates/steer/src/dispatch/region/order.rs
@@ -1,7 +1,8 @@
-//! Order of regions for one request: the one whose turn it is, then the others by their share.
+//! Order of regions for a request: first the one selected by round robin, then the others by
+//! descending share.
 //!
-//! Owns the split and the rotation of one [`Scope`]. Relies on [`shift`] to move the split and on
-//! [`affinity`] for the region that an object prefers.
+//! Owns the split and the round-robin state of one [`Scope`]. [`shift`] moves the split, and
+//! [`affinity`] provides the regions that an object prefers.
 
 use std::cmp;
 use std::time::Instant;
@@ -15,19 +16,21 @@
 use crate::dispatch::region::shift;
 use crate::dispatch::request;
 
-/// Requests by which a region may exceed its share, so that requests for one object go there together.
+/// Number of requests by which a region may exceed its share, so that requests for the same object
+/// go to the same region.
 ///
-/// Measured: docs/measurements/platform.md, row "objects keep their region" (0.776 to 0.943 and 0.869 to
-/// 0.970), and docs/measurements/worst-load.md, row "a longer lead" (5, 20 and 60 compared; with 5,
-/// 1.42 % of the runs are of objects new to their upstream, with 20 1.33 %, `steer/tests/load`).
-const MAX_LEAD: f64 = 20.0;
+/// See docs/measurements/platform.md, row "objects keep their region" (0.776 to 0.943 and 0.869 to
+/// 0.970), and docs/measurements/worst-load.md, row "a longer lead" (5, 20 and 60 compared).
+/// 1.42 % of the requests reach an upstream that has not cached their object at 5, and 1.33 % at 20
+/// (`steer/tests/load`).
+const MAX_LEAD_REQUESTS: f64 = 20.0;
 
-/// Requests that share a split: those for a service that the same regions may serve.
+/// Set of requests that share a split: those for one service with the same home regions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Scope {
     /// The service.
     pub service: id::Service,
-    /// Regions that may serve it; all when empty.
+    /// Regions that may serve the requests; empty means all regions.
     pub home_regions: Vec<id::Region>,
 }
 
@@ -39,7 +42,7 @@
     }
 }
 
-/// The split of a scope's requests over regions, and whose turn it is.
+/// Split of a scope's requests between regions, with the round-robin state.
 #[derive(Clone, Debug, Default)]
 pub struct Rotation {
     ramp: ramp::Limiter,
@@ -47,7 +50,7 @@
 }
 
 impl Rotation {
-    /// Returns the split in force.
+    /// Returns the current split.
     #[must_use]
     pub fn split(&self) -> &split::Split {
         self.ramp.position()
@@ -58,7 +61,7 @@
         shift::advance(&mut self.ramp, target, limit, now);
     }
 
-    /// Returns the order of regions for a request; ends with the `allowed` ones without a share.
+    /// Returns the order of regions for a request; `allowed` regions without a share come last.
     pub fn order(
         &mut self,
         request: &request::Request<'_>,
@@ -78,7 +81,8 @@
         order
     }
 
-    /// Returns the region whose turn it is; none for a retry, whose first try took the turn.
+    /// Returns the first region for a request, or `None` for a retry, since the request was counted
+    /// against the shares at its first attempt.
     fn first(
         &mut self,
         request: &request::Request<'_>,
@@ -86,8 +90,8 @@
     ) -> Option<id::Region> {
         match (request.is_first_try(), request.route.is_sticky) {
             (true, true) => {
-                let preferred = affinity::regions(request.key, weights);
-                self.round_robin.prefer(weights, &preferred, MAX_LEAD)
+                let preferred = affinity::rank_regions(request.key, weights);
+                self.round_robin.prefer(weights, &preferred, MAX_LEAD_REQUESTS)
             }
             (true, false) => self.round_robin.next(weights),
             (false, _) => None,
--- a/crates/steer/src/dispatch/region/share.rs
+++ b/crates/steer/src/dispatch/region/share.rs
@@ -1,8 +1,9 @@
-//! Target share of each region in the requests for a service that enter in one region.
+//! Target share of each region in the requests for a service that arrive in one region.
 //!
-//! Owns nothing. Regions are assumed to have equal demand: a region serves what its part of all slots
-//! can carry, and sends the rest to regions with spare slots, in proportion to these. Relies on the
-//! dispatcher for the slots of upstreams that take work; [`shift`] moves splits toward the target.
+//! Stateless. Demand is assumed to be equal in all regions: a region serves what its share of all
+//! slots can handle and sends the rest to regions with spare slots, in proportion to these. The
+//! dispatcher provides the slots of upstreams that accept requests; [`shift`] moves splits toward the
+//! target.
 //!
 //! [`shift`]: crate::dispatch::region::shift
 
@@ -10,33 +11,34 @@
 
 use crate::common::split;
 
-/// Part of its slots that a cold upstream counts for.
+/// Fraction of a cold upstream's slots that counts as capacity.
 ///
-/// Below one, since a cold upstream takes longer and slow start limits it.
-const COLD_SLOTS: f64 = 0.3;
+/// Less than one, since a cold upstream is slower and limited by slow start.
+const COLD_SLOTS_FRACTION: f64 = 0.3;
 
-/// Returns the slots that an upstream adds to its region's capacity.
+/// Returns the slots that an upstream contributes to its region's capacity.
 #[must_use]
 pub fn effective_slots(slots: u32, is_cold: bool) -> f64 {
-    f64::from(slots) * if is_cold { COLD_SLOTS } else { 1.0 }
+    f64::from(slots) * if is_cold { COLD_SLOTS_FRACTION } else { 1.0 }
 }
 
-/// Returns the slots that a limit of `rate` requests a second keeps busy, where each takes `work` seconds.
+/// Returns the slots that a limit of `rate` requests per second can occupy if each request takes
+/// `work` seconds.
 #[must_use]
 pub fn limited_slots(slots: f64, rate: f64, work: f64) -> f64 {
     slots.min(rate * work)
 }
 
-/// Slots of one region.
+/// Capacity of one region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capacity {
     /// The region.
     pub region: id::Region,
-    /// Slots of its upstreams that take work.
+    /// Slots of its upstreams that accept requests.
     pub slots: f64,
 }
 
-/// Returns the split of requests that enter in `from`; empty when no region has slots.
+/// Returns the target split of the requests that arrive in `from`; empty if no region has slots.
 ///
 /// `capacities` holds the regions that may serve them.
 #[must_use]
@@ -50,10 +52,10 @@
     let spare = |c: &Capacity| (c.slots / total - demand).max(0.0);
     let own = capacities.iter().find(|c| c.region == *from).map_or(0.0, |c| c.slots / total);
     let kept = (own / demand).min(1.0);
-    let all_spare: f64 = capacities.iter().filter(|c| c.region != *from).map(spare).sum();
+    let total_spare: f64 = capacities.iter().filter(|c| c.region != *from).map(spare).sum();
     let weight = |c: &Capacity| match c.region == *from {
         true => kept,
-        false if all_spare > 0.0 => (1.0 - kept) * spare(c) / all_spare,
+        false if total_spare > 0.0 => (1.0 - kept) * spare(c) / total_spare,
         false => (1.0 - kept) * c.slots / total,
     };
     let weights: Vec<_> = capacities.iter().map(|c| (c.region.clone(), weight(c))).collect();
--- a/crates/steer/src/dispatch/region/shift.rs
+++ b/crates/steer/src/dispatch/region/shift.rs
@@ -1,7 +1,7 @@
-//! Shift limit: how fast the split of requests over regions may move.
+//! Shift limit: how fast the split of requests between regions may change.
 //!
-//! Owns nothing. Relies on [`ramp::Limiter`], which keeps a split's position and its latest moves, and on
-//! `Bounds::greatest_shift` for the fleet's limit. [`overflow`] uses another part of the same limit.
+//! Stateless: [`ramp::Limiter`] holds a split's current value and its recent changes. The fleet-wide
+//! limit is `Bounds::greatest_shift`, another part of which is used by [`overflow`].
 //!
 //! [`overflow`]: crate::dispatch::overflow
 
@@ -14,16 +14,16 @@
 use crate::common::ramp;
 use crate::common::split;
 
-/// Window in which the operator's shift limit holds. A bound of the settings: `bounds.greatest_shift`.
+/// Window to which the operator's shift limit, `bounds.greatest_shift` in the settings, applies.
 const WINDOW: Duration = Duration::from_secs(2);
 
-/// Share of the shift limit that planned moves use.
+/// Fraction of the shift limit that changes of the split may use.
 ///
-/// Measured: docs/measurements/platform.md, row "a bounded share leaves a crowded region", together with
-/// `overflow::SHARE_OF_SHIFT_LIMIT`. The rest is for the grain of single requests.
+/// See docs/measurements/platform.md, row "a bounded share leaves a crowded region", together with
+/// `overflow::SHARE_OF_SHIFT_LIMIT`. The remainder absorbs rounding to whole requests.
 const SHARE_OF_SHIFT_LIMIT: f64 = 0.5;
 
-/// Returns the limit for planned moves under `bounds`.
+/// Returns the limit for changes of the split under `bounds`.
 #[must_use]
 pub fn limit(bounds: &bounds::Bounds) -> ramp::Limit {
     let share = bounds.greatest_shift * SHARE_OF_SHIFT_LIMIT;
@@ -35,9 +35,9 @@
     ramp::Limit { share: fraction::Fraction(share), window: WINDOW }
 }
 
-/// Moves a split toward `target` within `limit`; an empty split takes the target at once.
+/// Moves a split toward `target` within `limit`; an empty split is set to the target immediately.
 ///
-/// An empty `target` (no region has slots) leaves the split as it is.
+/// An empty `target` (no region has slots) leaves the split unchanged.
 pub fn advance(ramp: &mut ramp::Limiter, target: &split::Split, limit: ramp::Limit, now: Instant) {
     match (target.is_empty(), ramp.position().is_empty()) {
         (true, _) => {}
--- a/crates/steer/src/dispatch/request.rs
+++ b/crates/steer/src/dispatch/request.rs
@@ -1,6 +1,6 @@
-//! A request as the rules see it.
+//! The attributes of a request that decide which upstream serves it.
 //!
-//! Owns nothing; borrowed from the gateway for one choice of an upstream.
+//! Borrowed from the gateway for one choice of an upstream.
 
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
 /// A request that needs an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Its route.
+    /// The matched route.
     pub route: &'a route::Route,
-    /// The service of the route that answers it.
+    /// The service of the route that was picked for the request.
     pub service: &'a id::Service,
-    /// Hash of its object; of the request itself when it has none.
+    /// Hash of the request's object, or of the request itself if it has no object.
     pub key: u64,
-    /// Upstreams chosen for it before.
+    /// Upstreams chosen by earlier attempts.
     pub tried: &'a [id::Upstream],
-    /// Time until its deadline.
+    /// Time until the deadline.
     pub time_left: Duration,
-    /// Regions that may serve it; all when empty.
+    /// Regions that may serve the request; empty means all regions.
     pub homes: &'a [id::Region],
-    /// How urgent it is.
+    /// Urgency of the request.
     pub urgency: urgency::Urgency,
 }
 
 impl Request<'_> {
-    /// Returns whether no upstream was chosen for it before.
+    /// Returns whether no upstream was chosen for the request before.
     #[must_use]
     pub fn is_first_try(&self) -> bool {
         self.tried.is_empty()
--- a/crates/steer/src/dispatch/route.rs
+++ b/crates/steer/src/dispatch/route.rs
@@ -1,7 +1,7 @@
-//! Route: which service of a route takes the next request.
+//! Route: splits the requests of a route between its services.
 //!
-//! Owns one rotation for each route with several parts. Relies on smooth weighted round robin, so that
-//! each service's share holds within one request. Called once a request, before its first try.
+//! Owns a smooth weighted round robin for each route with several parts, so that each service's
+//! share is accurate to within one request. Called once per request, before the first attempt.
 
 use std::collections;
 
@@ -10,19 +10,19 @@
 
 use crate::common::round_robin;
 
-/// Rotations over the services of each route.
+/// Round-robin state of each route with several services.
 #[derive(Clone, Debug, Default)]
 pub struct Rotations {
     by_route: collections::BTreeMap<id::Route, round_robin::RoundRobin<id::Service>>,
 }
 
 impl Rotations {
-    /// Drops the rotations of routes that are not in `routes`.
+    /// Drops the state of routes that are not in `routes`.
     pub fn retain(&mut self, routes: &collections::BTreeSet<id::Route>) {
         self.by_route.retain(|name, _| routes.contains(name));
     }
 
-    /// Returns the service for the next request of `route`; none when all weights are zero.
+    /// Returns the service for the next request of `route`, or `None` if all weights are zero.
     pub fn next_service(&mut self, route: &route::Route) -> Option<id::Service> {
         if let [part] = route.parts.as_slice() {
             return Some(part.service.clone());
--- a/crates/steer/src/dispatch/seen_objects.rs
+++ b/crates/steer/src/dispatch/seen_objects.rs
@@ -1,45 +1,47 @@
-//! Seen objects: whether an upstream is expected to know the object of a request.
+//! Seen objects: whether an upstream probably has a request's object cached.
 //!
-//! Owns, for one upstream, the objects of this node's latest answers from it. An upstream works faster on an
-//! object that it has seen lately. Relies on [`affinity`] for what other nodes have probably shown it: all nodes
-//! prefer the same upstreams for an object. [`expected_work`] observes what each case is worth.
+//! Owns, for one upstream, the objects of its latest responses to this node, since upstreams process
+//! recently seen objects faster. What an upstream has seen through other nodes is inferred from
+//! [`affinity`], because all nodes prefer the same upstreams for an object. [`expected_work`] measures
+//! the processing time of each case.
 //!
 //! [`affinity`]: crate::dispatch::affinity
 //! [`expected_work`]: crate::dispatch::expected_work
 
 use std::collections;
 
-/// Objects that are remembered for one upstream.
+/// Maximum number of objects recorded per upstream.
 ///
-/// Not measured; above what upstreams of the known deployments keep (13 to 49), and 16 KB of memory.
+/// Exceeds the cache sizes of upstreams in the known deployments (13 to 49 objects) and takes 16 KB
+/// of memory.
 const MAX_OBJECTS: usize = 512;
 
-/// What an upstream is expected to know of an object.
+/// Whether an upstream probably has an object cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Sight {
-    /// All nodes prefer it for the object, and it has answered a request about it that this node sent.
+    /// The upstream is the object's first choice and has answered this node's requests for it.
     Seen,
-    /// All nodes prefer it, and it has not.
+    /// The upstream is the object's first choice but has not answered this node's requests for it.
     Preferred,
-    /// Another one is preferred, but it has answered a request about the object that this node sent.
+    /// The upstream is not the object's first choice but has answered this node's requests for it.
     SeenElsewhere,
-    /// It has not, and is the object's second upstream.
+    /// The upstream is the object's second choice and has not answered this node's requests for it.
     Second,
-    /// It has not, and is any other upstream.
+    /// The upstream is a later choice and has not answered this node's requests for the object.
     Further,
 }
 
-/// A request's object, with what the chosen upstream is expected to know of it.
+/// A request's object and whether the chosen upstream probably has it cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Object {
     /// Hash of the object.
     pub key: u64,
-    /// What the upstream is expected to know.
+    /// Whether the upstream probably has the object cached.
     pub sight: Sight,
 }
 
 impl Sight {
-    /// Returns the case of an upstream at `rank` of the object's preferences; 0 is first.
+    /// Returns the case of an upstream at `rank` in the object's order of preference; 0 is the first.
     #[must_use]
     pub fn of(has_seen: bool, rank: usize) -> Self {
         match (has_seen, rank) {
@@ -52,33 +54,34 @@
     }
 }
 
-/// Objects that one upstream has answered for this node, the latest ones.
+/// Objects of the latest responses of one upstream to this node.
 #[derive(Clone, Debug, Default)]
 pub struct Objects {
-    answered: collections::HashMap<u64, u64>,
-    count: u64,
+    /// Sequence number of the latest response for each object.
+    latest: collections::HashMap<u64, u64>,
+    responses: u64,
 }
 
 impl Objects {
-    /// Returns whether the upstream has answered about the object.
+    /// Returns whether the upstream has recently answered a request for the object.
     #[must_use]
     pub fn contains(&self, object: u64) -> bool {
-        self.answered.contains_key(&object)
+        self.latest.contains_key(&object)
     }
 
-    /// Records an answer about the object.
+    /// Records a response for the object.
     pub fn record(&mut self, object: u64) {
-        self.count += 1;
-        self.answered.insert(object, self.count);
-        if self.answered.len() > MAX_OBJECTS {
-            self.forget_older_half();
+        self.responses += 1;
+        self.latest.insert(object, self.responses);
+        if self.latest.len() > MAX_OBJECTS {
+            self.evict_older_half();
         }
     }
 
-    fn forget_older_half(&mut self) {
-        let mut times: Vec<u64> = self.answered.values().copied().collect();
-        times.sort_unstable();
-        let oldest = times.get(times.len() / 2).copied().unwrap_or(0);
-        self.answered.retain(|_, time| *time >= oldest);
+    fn evict_older_half(&mut self) {
+        let mut sequence_numbers: Vec<u64> = self.latest.values().copied().collect();
+        sequence_numbers.sort_unstable();
+        let oldest = sequence_numbers.get(sequence_numbers.len() / 2).copied().unwrap_or(0);
+        self.latest.retain(|_, sequence_number| *sequence_number >= oldest);
     }
 }
--- a/crates/steer/src/dispatch/selection.rs
+++ b/crates/steer/src/dispatch/selection.rs
@@ -1,9 +1,9 @@
 //! Selection: which of a region's eligible upstreams takes a request.
 //!
-//! Owns nothing. The cost of an upstream is the time until the request would be done there, multiplied by
-//! its [`affinity`] rank, less where it has seen the object, and by its recent failures; the cheapest of the first few
-//! that the object prefers wins. Relies on [`eligibility`] to have filtered the upstreams, on [`preference`] for
-//! their order, and on [`admission`] for the longest wait.
+//! The cost of an upstream is the estimated time until it has processed the request, multiplied by
+//! factors for its [`affinity`] rank (lower if it has seen the object) and its recent failures. The
+//! cheapest of the object's most preferred upstreams is chosen. [`eligibility`] filters the
+//! upstreams, [`preference`] orders them, and [`admission`] provides the maximum wait.
 //!
 //! [`eligibility`]: crate::dispatch::eligibility
 //! [`preference`]: crate::dispatch::preference
@@ -25,20 +25,20 @@
 use crate::dispatch::skipped;
 use crate::dispatch::upstream;
 
-/// Added cost of an upstream all of whose tries fail, as a multiple of a healthy one's cost.
+/// Additional cost of an upstream at a failure rate of 1, as a multiple of a healthy upstream's cost.
 ///
-/// Above the costs of affinity, so that an object leaves an upstream that keeps failing.
-const FAILURE_COST: f64 = 6.0;
+/// Exceeds the affinity cost factors, so that objects move away from an upstream that keeps failing.
+const FAILURE_COST_FACTOR: f64 = 6.0;
 
-/// Upstreams of a region among which a request's one is chosen, the first that its object prefers.
+/// Number of the object's most preferred upstreams in a region that are compared for a request.
 ///
-/// A choice costs the same however many upstreams there are, and the runs of an object that its first upstream cannot
-/// take meet few others, which come to know it.
+/// Keeps the cost of a choice independent of the number of upstreams, and concentrates requests that
+/// the first upstream cannot take on a few others, which then have the object cached.
 pub const MAX_CANDIDATES: usize = 8;
 
-/// An eligible upstream with what is expected of it for a request.
+/// An eligible upstream with its cost for a request.
 #[derive(Clone, Debug)]
-struct Rated {
+struct ScoredUpstream {
     entry: sync::Arc<discovery::Entry>,
     sight: seen_objects::Sight,
     wait: seconds::Seconds,
@@ -46,43 +46,43 @@
     load_age: Duration,
 }
 
-/// The first of a region's eligible upstreams that a request's object prefers, with what is expected of each.
+/// The most preferred eligible upstreams of a region for a request, with the cost of each.
 #[derive(Clone, Debug)]
 pub struct Ranking {
-    rated: Vec<Rated>,
+    scored: Vec<ScoredUpstream>,
     work: expected_work::Work,
     max_wait: seconds::Seconds,
-    /// The request's object; none when it has none.
+    /// Hash of the request's object; `None` if the request has no object.
     object: Option<u64>,
 }
 
 impl Ranking {
-    /// Rates a region's `eligible` upstreams, which come in the order of the object's preference.
+    /// Scores a region's `eligible` upstreams, which must be in the object's order of preference.
     #[must_use]
     pub fn new<'a>(
         eligible: impl Iterator<Item = &'a upstream::Upstream>,
         request: &request::Request<'_>,
         work: expected_work::Work,
-        urgency: priority::Rank,
+        rank: priority::Rank,
         now: Instant,
     ) -> Self {
         let candidates = candidates(eligible, work.mean(), now);
-        let rate = |(rank, upstream)| rate(upstream, rank, request, work, now);
+        let score = |(position, upstream)| score(upstream, position, request, work, now);
         Self {
-            rated: candidates.into_iter().enumerate().map(rate).collect(),
+            scored: candidates.into_iter().enumerate().map(score).collect(),
             work,
-            max_wait: admission::max_wait(work.mean(), urgency, request),
+            max_wait: admission::max_wait(work.mean(), rank, request),
             object: request.route.is_sticky.then_some(request.key),
         }
     }
 
-    /// Returns the best upstream beside those that were skipped; none when there is none.
+    /// Returns the best upstream that was not skipped, or `None` if none is left.
     #[must_use]
     pub fn best(&self, skipped: &skipped::Skipped) -> Option<candidate::Candidate> {
-        let open = || self.rated.iter().filter(|rated| !skipped.contains(&rated.entry.id));
-        let cheapest = open().min_by(|a, b| by_cost(a, b))?;
+        let remaining = || self.scored.iter().filter(|u| !skipped.contains(&u.entry.id));
+        let cheapest = remaining().min_by(|a, b| by_cost(a, b))?;
         let chosen = match cheapest.wait > self.max_wait {
-            true => idle_second(open()).unwrap_or(cheapest),
+            true => idle_preferred(remaining()).unwrap_or(cheapest),
             false => cheapest,
         };
         Some(candidate::Candidate {
@@ -91,8 +91,8 @@
             wait: chosen.wait,
             max_wait: self.max_wait,
             work: self.work.mean(),
-            done: seconds::Seconds(chosen.wait.0 + self.work.of(chosen.sight).0),
-            expected: seconds::Seconds(chosen.wait.0 + self.work.cautious().0),
+            mean_latency: seconds::Seconds(chosen.wait.0 + self.work.of(chosen.sight).0),
+            cautious_latency: seconds::Seconds(chosen.wait.0 + self.work.cautious().0),
             load_age: chosen.load_age,
             avoided: None,
             skipped: Vec::new(),
@@ -100,76 +100,80 @@
     }
 }
 
-/// Returns the best of a region's `eligible` upstreams, which come in the order of the object's preference; none when
-/// there is none.
+/// Returns the best of a region's `eligible` upstreams, which must be in the object's order of
+/// preference, or `None` if there are none.
 #[must_use]
 pub fn best<'a>(
     eligible: impl Iterator<Item = &'a upstream::Upstream>,
     request: &request::Request<'_>,
     work: expected_work::Work,
-    urgency: priority::Rank,
+    rank: priority::Rank,
     now: Instant,
 ) -> Option<candidate::Candidate> {
-    Ranking::new(eligible, request, work, urgency, now).best(&skipped::Skipped::default())
+    Ranking::new(eligible, request, work, rank, now).best(&skipped::Skipped::default())
 }
 
-/// Rates an upstream at `rank` of the object's preferences; 0 is first.
-fn rate(
+/// Computes the cost of an upstream at `position` in the object's order of preference; 0 is the first.
+fn score(
     upstream: &upstream::Upstream,
-    rank: usize,
+    position: usize,
     request: &request::Request<'_>,
     work: expected_work::Work,
     now: Instant,
-) -> Rated {
+) -> ScoredUpstream {
     let sight = match request.route.is_sticky {
-        true => seen_objects::Sight::of(upstream.objects.contains(request.key), rank),
+        true => seen_objects::Sight::of(upstream.objects.contains(request.key), position),
         false => seen_objects::Sight::Preferred,
     };
-    let of_rank = affinity::cost(request.route.is_sticky, rank);
-    let of_object = match sight {
-        seen_objects::Sight::SeenElsewhere => of_rank.min(affinity::seen_cost(work)),
-        _ => of_rank,
+    let affinity_factor = affinity::cost(request.route.is_sticky, position);
+    let object_factor = match sight {
+        seen_objects::Sight::SeenElsewhere => affinity_factor.min(affinity::seen_cost(work)),
+        _ => affinity_factor,
     };
-    let of_failures = 1.0 + upstream.health.failure_rate(now) * FAILURE_COST;
+    let failure_factor = 1.0 + upstream.health.failure_rate(now) * FAILURE_COST_FACTOR;
     let time = upstream.health.work(work.mean(), now).0 * upstream.crowding(now);
-    Rated {
+    ScoredUpstream {
         entry: sync::Arc::clone(&upstream.entry),
         sight,
         wait: upstream.wait(work.mean(), now),
-        cost: time * of_object * of_failures,
+        cost: time * object_factor * failure_factor,
         load_age: upstream.load.age(now),
     }
 }
 
-/// Returns the first upstreams that are neither ejected nor silent; the first of all where none is.
+/// Returns the first upstreams that are neither ejected nor silent, or the first of all upstreams if
+/// none is healthy.
 fn candidates<'a>(
     eligible: impl Iterator<Item = &'a upstream::Upstream>,
     work: seconds::Seconds,
     now: Instant,
 ) -> Vec<&'a upstream::Upstream> {
     let mut healthy = Vec::with_capacity(MAX_CANDIDATES);
-    let mut suspect = Vec::new();
+    let mut unhealthy = Vec::new();
     for upstream in eligible {
         match upstream.health.is_healthy(work, now) {
             true => healthy.push(upstream),
-            false if suspect.len() < MAX_CANDIDATES => suspect.push(upstream),
+            false if unhealthy.len() < MAX_CANDIDATES => unhealthy.push(upstream),
             false => {}
         }
         if healthy.len() == MAX_CANDIDATES {
             break;
         }
     }
-    if healthy.is_empty() { suspect } else { healthy }
+    if healthy.is_empty() { unhealthy } else { healthy }
 }
 
-fn by_cost(a: &Rated, b: &Rated) -> cmp::Ordering {
+fn by_cost(a: &ScoredUpstream, b: &ScoredUpstream) -> cmp::Ordering {
     a.cost.partial_cmp(&b.cost).unwrap_or(cmp::Ordering::Equal)
 }
 
-/// Returns the first of the object's two preferred upstreams that has no queue.
+/// Returns the first of the two most preferred upstreams that has no queue.
 ///
-/// Used in place of a refusal. Any other idle upstream was far worse (docs/DECISIONS.md, "How long a
-/// request may wait"), since cold runs take capacity from the objects that are warm there.
-fn idle_second<'r>(mut rated: impl Iterator<Item = &'r Rated>) -> Option<&'r Rated> {
-    rated.by_ref().take(2).find(|rated| rated.wait.0 <= 0.0)
+/// Used to avoid a refusal. Allowing any idle upstream gave far worse results (docs/DECISIONS.md,
+/// "How long a request may wait"), since requests for uncached objects take capacity from the objects
+/// that are cached there.
+fn idle_preferred<'u>(
+    mut scored: impl Iterator<Item = &'u ScoredUpstream>,
+) -> Option<&'u ScoredUpstream> {
+    scored.by_ref().take(2).find(|upstream| upstream.wait.0 <= 0.0)
 }
--- a/crates/steer/src/dispatch/skipped.rs
+++ b/crates/steer/src/dispatch/skipped.rs
@@ -1,7 +1,7 @@
-//! Upstreams that one request skips, since their limits are used up.
+//! Skipped upstreams: upstreams that a request passes over because their limits are exhausted.
 //!
-//! Owns them for the time of one choice. Relies on [`upstream_limit`] for the draw at each; the next choice is as if they were not
-//! there.
+//! Lives for one choice of an upstream. [`upstream_limit`] decides whether an upstream admits the
+//! request; if not, the choice is repeated without it.
 //!
 //! [`upstream_limit`]: crate::dispatch::upstream_limit
 
@@ -12,25 +12,25 @@
 use crate::dispatch::candidate;
 use crate::dispatch::refusal;
 
-/// Upstreams that a request skips at most: as many as it looks at in a region.
-const MOST_SKIPPED: usize = 8;
+/// Maximum number of upstreams that a request skips; equals `selection::MAX_CANDIDATES`.
+const MAX_SKIPPED: usize = 8;
 
-/// Upstreams that a request skipped.
+/// Upstreams skipped by one request.
 #[derive(Clone, Debug, Default)]
 pub struct Skipped {
-    /// The upstreams, the most preferred one first.
+    /// The upstreams, most preferred first.
     pub upstreams: Vec<id::Upstream>,
     first_hall: Option<id::Hall>,
-    room_after: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 impl Skipped {
-    /// Adds an upstream that has room again in `room_after`.
-    pub fn add(&mut self, upstream: &candidate::Candidate, room_after: Duration) {
+    /// Adds an upstream whose limit admits requests again after `retry_after`.
+    pub fn add(&mut self, upstream: &candidate::Candidate, retry_after: Duration) {
         self.first_hall.get_or_insert_with(|| upstream.entry.hall.clone());
         self.upstreams.push(upstream.entry.id.clone());
-        let soonest = self.room_after.map_or(room_after, |known| known.min(room_after));
-        self.room_after = Some(soonest);
+        let earliest = self.retry_after.map_or(retry_after, |known| known.min(retry_after));
+        self.retry_after = Some(earliest);
     }
 
     /// Returns whether an upstream was skipped.
@@ -39,22 +39,22 @@
         self.upstreams.contains(upstream)
     }
 
-    /// Returns whether no more is skipped.
+    /// Returns whether no further upstreams may be skipped.
     #[must_use]
     pub fn is_full(&self) -> bool {
-        self.upstreams.len() >= MOST_SKIPPED
+        self.upstreams.len() >= MAX_SKIPPED
     }
 
-    /// Returns the hall of the upstream that was skipped first.
+    /// Returns the hall of the first skipped upstream.
     #[must_use]
     pub fn first_hall(&self) -> Option<&id::Hall> {
         self.first_hall.as_ref()
     }
 
-    /// Returns the refusal of a request that no other upstream may take.
+    /// Returns the refusal for a request that no other upstream may take.
     #[must_use]
     pub fn refusal(&self) -> refusal::Refusal {
-        let retry_after = self.room_after.unwrap_or_default();
+        let retry_after = self.retry_after.unwrap_or_default();
         refusal::Refusal::Limited { retry_after, upstreams: self.upstreams.clone() }
     }
 }
--- a/crates/steer/src/dispatch/upstream.rs
+++ b/crates/steer/src/dispatch/upstream.rs
@@ -1,7 +1,7 @@
-//! Upstreams: entries of discovery with what this node knows of each.
+//! Upstream: a service discovery entry with this node's state for it.
 //!
-//! Owns the state of one upstream: load, health, slow start. The dispatcher owns them all and feeds each
-//! with the sends and the ends of its tries.
+//! Owns the load, health and slow start of one upstream. The dispatcher owns all upstreams and
+//! notifies each when an attempt starts or ends.
 
 use std::sync;
 use std::time::Instant;
@@ -16,37 +16,38 @@
 use crate::dispatch::seen_objects;
 use crate::dispatch::slow_start;
 
-/// An entry with what this node knows of it.
+/// An upstream and this node's state for it.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// The entry as service discovery lists it.
+    /// The entry in service discovery.
     pub entry: sync::Arc<discovery::Entry>,
-    /// Its short name in reports between nodes.
+    /// Compact identifier used in reports between nodes.
     pub key: peer_load::Key,
-    /// Its region.
+    /// Region of the upstream's hall.
     pub region: id::Region,
-    /// Its load.
+    /// Requests in flight and reported load.
     pub load: reported_load::Load,
-    /// Its health.
+    /// Health as observed by this node.
     pub health: health::Health,
-    /// Objects that it has answered for this node.
+    /// Objects of its latest responses to this node.
     pub objects: seen_objects::Objects,
-    /// Limits what it is sent while it is cold.
+    /// Limits the request rate while the upstream is cold.
     pub slow_start: slow_start::Limiter,
-    /// Whether this node is the one that may send to it while it is cold; kept up to date while it is.
-    pub is_owned: bool,
-    /// Whether another entry answered at its address.
+    /// Whether this node is the one that may send to the upstream while it is cold; only updated
+    /// during that time.
+    pub is_slow_start_owner: bool,
+    /// Whether another upstream answered at its address.
     pub is_replaced: bool,
-    /// Whether it was observed to leave.
-    pub says_leaving: bool,
-    /// When it has rested; none before it asks for rest.
+    /// Whether it announced that it is leaving.
+    pub announced_leaving: bool,
+    /// End of the latest rest that it asked for; `None` if it has not asked.
     pub rests_until: Option<Instant>,
-    /// Until when it is used without an entry, which may only have lapsed.
+    /// Time until which it is used although its entry is missing, in case the entry only lapsed.
     pub lapsed_until: Option<Instant>,
 }
 
 impl Upstream {
-    /// Makes an upstream of a new entry.
+    /// Creates the state for a new entry.
     #[must_use]
     pub fn new(entry: sync::Arc<discovery::Entry>, region: id::Region, now: Instant) -> Self {
         let mut slow_start = slow_start::Limiter::new(now);
@@ -60,38 +61,39 @@
             health: health::Health::new(now),
             objects: seen_objects::Objects::default(),
             slow_start,
-            is_owned: false,
+            is_slow_start_owner: false,
             is_replaced: false,
-            says_leaving: false,
+            announced_leaving: false,
             rests_until: None,
             lapsed_until: None,
         }
     }
 
-    /// Returns whether it takes new work at all, wherever its hall stands.
+    /// Returns whether the upstream accepts new requests, regardless of evacuations of its hall.
     #[must_use]
     pub fn is_usable(&self, now: Instant) -> bool {
-        let is_gone = self.lapsed_until.is_some_and(|until| now >= until);
-        let leaves = self.says_leaving || self.entry.state != discovery::State::Ready;
-        !leaves && !self.is_replaced && !is_gone
+        let has_expired = self.lapsed_until.is_some_and(|until| now >= until);
+        let is_leaving = self.announced_leaving || self.entry.state != discovery::State::Ready;
+        !is_leaving && !self.is_replaced && !has_expired
     }
 
-    /// Returns whether it wants no requests from this node for now.
+    /// Returns whether the upstream has asked this node to send no requests for now.
     #[must_use]
     pub fn is_resting(&self, now: Instant) -> bool {
         self.rests_until.is_some_and(|until| now < until)
     }
 
-    /// Returns the work times of one request that pass until one more would be done; at least 1.
+    /// Returns the time to complete one more request, including queueing, as a multiple of its
+    /// processing time; at least 1.
     #[must_use]
     pub fn crowding(&self, now: Instant) -> f64 {
         let slots = f64::from(self.entry.slots);
         ((self.load.requests(now) + 1.0) / slots).max(1.0)
     }
 
-    /// Returns how long one more request would wait.
+    /// Returns how long one more request would queue, given the service's mean processing time.
     #[must_use]
-    pub fn wait(&self, service: seconds::Seconds, now: Instant) -> seconds::Seconds {
-        seconds::Seconds(self.health.work(service, now).0 * (self.crowding(now) - 1.0))
+    pub fn wait(&self, service_mean: seconds::Seconds, now: Instant) -> seconds::Seconds {
+        seconds::Seconds(self.health.work(service_mean, now).0 * (self.crowding(now) - 1.0))
     }
 }
--- a/crates/steer/src/dispatch/urgency.rs
+++ b/crates/steer/src/dispatch/urgency.rs
@@ -1,19 +1,21 @@
-//! Urgency of a request: that of its organisation, then that of its route, as operators set them.
+//! Urgency of a request, by the configured priorities of its organisation and its route.
 
 use model::organisation;
 use model::route;
 
-/// How urgent a request is by its organisation, and among those of equal ones by its route; 0 is the most urgent.
+/// Urgency of a request: its organisation's priority, then its route's; 0 is the most urgent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// Priority of its organisation.
+    /// Priority of the organisation.
     pub organisation: u32,
-    /// Priority of its route.
+    /// Priority of the route.
     pub route: u32,
 }
 
 impl Urgency {
-    /// Returns the urgency of a request of `route`; requests of no organisation count as of the most urgent one.
+    /// Returns the urgency of a request of `route`.
+    ///
+    /// Requests without an organisation are treated like those of the most urgent organisation.
     #[must_use]
     pub fn of(route: &route::Route, organisation: Option<&organisation::Organisation>) -> Self {
         Self { organisation: organisation.map_or(0, |o| o.priority), route: route.priority }
--- a/crates/steer/tests/selection.rs
+++ b/crates/steer/tests/selection.rs
@@ -36,7 +36,7 @@
         now: Instant,
     ) -> Vec<&'a upstream::Upstream> {
         let mut ranked: Vec<(u64, &upstream::Upstream)> =
-            eligible.iter().map(|u| (affinity::rank(key, &u.entry.id), *u)).collect();
+            eligible.iter().map(|u| (affinity::upstream_score(key, &u.entry.id), *u)).collect();
         ranked.sort_by_key(|(rank, _)| cmp::Reverse(*rank));
         let mut ranked: Vec<_> = ranked.into_iter().map(|(_, upstream)| upstream).collect();
         let is_healthy = |u: &&upstream::Upstream| u.health.is_healthy(work, now);
@@ -144,7 +144,7 @@
         let size = random.random_range(1..=MOST);
         let upstreams = (0..size).map(|n| drawn(n, &mut random, key, now)).collect();
         let mut index = index::Index::new(upstreams);
-        index.prepare(&service, &region, key);
+        index.prepare_order(&service, &region, key);
         let excluded = random.random_range(0.0..0.4);
         let excluded: collections::HashSet<id::Upstream> = index
             .iter()
@@ -196,10 +196,10 @@
             .collect();
         let mut index = index::Index::new(upstreams);
         for key in 0..20 {
-            index.prepare(&service, &region, key);
+            index.prepare_order(&service, &region, key);
             let names = |u: &upstream::Upstream| u.entry.id.clone();
             let mut order: Vec<_> = index.preferred(&service, &region, key).map(names).collect();
-            let by_rank = |id: &id::Upstream| cmp::Reverse(affinity::rank(key, id));
+            let by_rank = |id: &id::Upstream| cmp::Reverse(affinity::upstream_score(key, id));
             assert!(order.iter().take(32).is_sorted_by_key(by_rank), "first ones by rank");
             order.sort();
             order.dedup();
