--- a/crates/steer/tests/dispatch/choice.rs
+++ b/crates/steer/tests/dispatch/choice.rs
@@ -1,4 +1,4 @@
-//! Choice: which upstream an object meets, and when a request is refused.
+//! Choice of an upstream: object affinity, waiting and refusals.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -9,10 +9,10 @@
 use crate::setup;
 
 #[test]
-fn one_object_meets_one_upstream() {
+fn requests_for_one_object_go_to_the_same_upstream() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    setup::set(&mut dispatcher, &setup::many(), now);
+    setup::set(&mut dispatcher, &setup::six_upstreams(), now);
     for key in 0..20 {
         let first =
             setup::choose(&mut dispatcher, &setup::route(&[]), key, now).expect("all are idle");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn budget_retries_stay_below_the_fleet_s_ratio() {
+fn budget_retries_stay_below_the_fleet_wide_ratio() {
     let began = Instant::now();
     let allowance =
         retry_budget::Allowance { window: Duration::from_secs(10), ratio: 0.2, slack: 8.0 / 8.0 };
@@ -40,20 +40,22 @@
 }
 
 #[test]
-fn an_object_waits_for_the_upstream_that_knows_it_rather_than_run_cold_elsewhere() {
+fn a_request_waits_for_the_upstream_that_has_its_object_cached_if_that_is_faster() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    setup::set(&mut dispatcher, &setup::many()[..2], now);
-    let knows = setup::choose(&mut dispatcher, &setup::route(&[]), 7, now).expect("both are idle");
+    setup::set(&mut dispatcher, &setup::six_upstreams()[..2], now);
+    let preferred =
+        setup::choose(&mut dispatcher, &setup::route(&[]), 7, now).expect("both are idle");
     let mut chosen_at = |requests: u32| {
-        let load = vec![(peer_load::Key::of(&knows.id), requests)];
+        let load = vec![(peer_load::Key::of(&preferred.id), requests)];
         dispatcher.set_peer_load(id::Node::new("m"), load, now);
         setup::choose(&mut dispatcher, &setup::route(&[]), 7, now).expect("one is idle").id.clone()
     };
-    // Four slots: with five requests before it, it waits for less than a cold run takes longer.
-    assert_eq!(chosen_at(5), knows.id);
-    // With six it would wait too long, and the second has nothing to do.
-    assert_ne!(chosen_at(6), knows.id);
+    // Four slots: behind five requests, it waits less than an upstream without the object would
+    // take longer.
+    assert_eq!(chosen_at(5), preferred.id);
+    // Behind six it would wait too long, and the second upstream is idle.
+    assert_ne!(chosen_at(6), preferred.id);
 }
 
 #[test]
@@ -87,14 +89,14 @@
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     setup::set(&mut dispatcher, &[setup::entry("i-0", "n-1")], now);
-    let mut wanted = setup::route(&[]);
+    let mut route = setup::route(&[]);
     let mut ask_at = |requests: u32, target: Duration| {
         let load = vec![(peer_load::Key::of(&id::Upstream::new("i-0")), requests)];
         dispatcher.set_peer_load(id::Node::new("m"), load, now);
-        wanted.target_latency = target;
-        setup::choose(&mut dispatcher, &wanted, 1, now)
+        route.target_latency = target;
+        setup::choose(&mut dispatcher, &route, 1, now)
     };
-    // Work of 250 ms on four slots: with seven requests before it, it waits for as long again.
+    // 250 ms of work on four slots: behind seven requests, it waits another 250 ms.
     let target = Duration::from_millis(400);
     assert!(ask_at(6, target).is_ok());
     match ask_at(7, target) {
@@ -103,8 +105,8 @@
         }
         other => panic!("{other:?}"),
     }
-    // An answer that is late without any wait is worth waiting for.
+    // The response would be late even without a wait, so a refusal would not help.
     assert!(ask_at(7, Duration::from_millis(200)).is_ok());
-    // So is one that waiting does not make late.
+    // The wait does not make the response late.
     assert!(ask_at(7, Duration::from_millis(900)).is_ok());
 }
--- a/crates/steer/tests/dispatch/entries.rs
+++ b/crates/steer/tests/dispatch/entries.rs
@@ -1,4 +1,4 @@
-//! Entries of discovery: upstreams that leave, lapse, are replaced or start again.
+//! Service discovery entries: upstreams that leave, lapse, are replaced or restart.
 
 use std::sync;
 use std::time::{Duration, Instant};
@@ -9,14 +9,14 @@
 use crate::setup;
 
 #[test]
-fn evac_and_drain_leave_an_upstream_alone_at_once() {
+fn evac_and_drain_exclude_an_upstream_immediately() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    let mut entries = setup::many();
+    let mut entries = setup::six_upstreams();
     entries[1].state = discovery::State::Draining;
     setup::set(&mut dispatcher, &entries, now);
     dispatcher.set_evacuated([id::Hall::new("n-1")].into(), now);
-    for key in 0..setup::MANY as u64 {
+    for key in 0..setup::MANY_REQUESTS as u64 {
         let chosen = setup::choose(&mut dispatcher, &setup::route(&[]), key, now)
             .expect("two regions are left");
         assert!(!chosen.hall.as_str().starts_with('n'), "{chosen:?}");
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_replaced_upstream_is_never_asked_again() {
+fn a_replaced_upstream_gets_no_more_requests() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let only = [setup::entry("i-0", "n-1")];
@@ -38,17 +38,18 @@
 }
 
 #[test]
-fn entries_that_lapse_while_their_source_is_away_are_used_until_they_should_be_back() {
+fn entries_that_lapse_while_their_source_is_unavailable_are_used_for_a_limited_time() {
     let began = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    setup::set(&mut dispatcher, &setup::many(), began);
+    setup::set(&mut dispatcher, &setup::six_upstreams(), began);
     dispatcher.source_failed(began);
     let back = began + Duration::from_secs(1);
-    setup::set(&mut dispatcher, &setup::many()[..5], back);
+    setup::set(&mut dispatcher, &setup::six_upstreams()[..5], back);
     assert_eq!(dispatcher.upstreams().count(), 6);
     setup::set(&mut dispatcher, &[], back);
     for key in 0..20 {
-        setup::choose(&mut dispatcher, &setup::route(&[]), key, back).expect("they may be alive");
+        setup::choose(&mut dispatcher, &setup::route(&[]), key, back)
+            .expect("lapsed upstreams are used");
     }
     dispatcher.tick(back + Duration::from_secs(2));
     let refused =
@@ -57,28 +58,28 @@
 }
 
 #[test]
-fn a_lapsed_entry_that_is_told_again_stays() {
+fn a_lapsed_entry_that_is_listed_again_is_kept() {
     let began = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    setup::set(&mut dispatcher, &setup::many(), began);
+    setup::set(&mut dispatcher, &setup::six_upstreams(), began);
     dispatcher.source_failed(began);
     setup::set(&mut dispatcher, &[], began);
-    let told: Vec<_> = setup::many().into_iter().map(sync::Arc::new).collect();
-    assert!(dispatcher.differs(&told));
-    setup::set(&mut dispatcher, &setup::many(), began + Duration::from_secs(1));
+    let listed: Vec<_> = setup::six_upstreams().into_iter().map(sync::Arc::new).collect();
+    assert!(dispatcher.differs(&listed));
+    setup::set(&mut dispatcher, &setup::six_upstreams(), began + Duration::from_secs(1));
     dispatcher.tick(began + Duration::from_secs(4));
     assert_eq!(dispatcher.upstreams().count(), 6);
 }
 
 #[test]
-fn drain_an_entry_that_goes_in_quiet_times_is_left_alone_at_once() {
+fn drain_an_entry_removed_while_its_source_works_is_dropped_immediately() {
     let began = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    setup::set(&mut dispatcher, &setup::many(), began);
-    setup::set(&mut dispatcher, &setup::many()[..5], began);
+    setup::set(&mut dispatcher, &setup::six_upstreams(), began);
+    setup::set(&mut dispatcher, &setup::six_upstreams()[..5], began);
     assert_eq!(dispatcher.upstreams().count(), 5);
     dispatcher.source_failed(began);
-    setup::set(&mut dispatcher, &setup::many()[..4], began + Duration::from_secs(4));
+    setup::set(&mut dispatcher, &setup::six_upstreams()[..4], began + Duration::from_secs(4));
     assert_eq!(dispatcher.upstreams().count(), 4);
 }
 
@@ -95,20 +96,20 @@
 }
 
 #[test]
-fn most_entries_that_go_at_once_are_taken_for_lapsed_for_half_of_the_bound() {
+fn most_entries_vanishing_together_are_treated_as_lapsed_for_half_of_the_bound() {
     let began = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    setup::set(&mut dispatcher, &setup::many(), began);
+    setup::set(&mut dispatcher, &setup::six_upstreams(), began);
     setup::set(&mut dispatcher, &[], began);
     assert_eq!(dispatcher.upstreams().count(), 6);
     dispatcher.tick(began + bounds::Bounds::default().drain / 2);
     assert_eq!(dispatcher.upstreams().count(), 0);
 }
 
-/// A node is held to the bound on leaving upstreams once `contact` has passed since the last failure, so from
-/// then on it uses no upstream whose entry has vanished.
+/// The bound on leaving upstreams applies to a node once `bounds.contact` has passed since its last
+/// failed call to the source of entries. From then on it must not use an upstream without an entry.
 #[test]
-fn drain_no_upstream_without_an_entry_is_used_when_contact_is_over() {
+fn drain_no_upstream_without_an_entry_is_used_after_the_contact_period() {
     let bounds = bounds::Bounds::default();
     let failed = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
@@ -121,42 +122,42 @@
     assert!(matches!(refused, Err(refusal::Refusal::NoUpstream(_))), "{refused:?}");
 }
 
-/// The bound on leaving upstreams also holds between two ticks, and the way of the change counts toward it.
-
+/// The bound on leaving upstreams also applies between two ticks and includes the time that a change
+/// takes to reach the node.
 #[test]
 fn drain_an_upstream_without_an_entry_is_used_for_less_than_the_bound() {
-    /// Time that a change takes to a node, in calm times.
-    const WAY: Duration = Duration::from_millis(500);
+    /// Time that a change normally takes to reach a node.
+    const PROPAGATION_TIME: Duration = Duration::from_millis(500);
     let bounds = bounds::Bounds::default();
     let failed = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     setup::set(&mut dispatcher, &[setup::entry("i-0", "n-1")], failed);
     dispatcher.source_failed(failed);
     setup::set(&mut dispatcher, &[], failed);
-    let over = failed + bounds.drain.saturating_sub(WAY);
+    let over = failed + bounds.drain.saturating_sub(PROPAGATION_TIME);
     let refused = setup::choose(&mut dispatcher, &setup::route(&[]), 1, over);
     assert!(matches!(refused, Err(refusal::Refusal::NoUpstream(_))), "{refused:?}");
 }
 
 #[test]
-fn an_upstream_that_starts_again_under_its_name_has_nothing_of_before() {
+fn a_restarted_upstream_with_the_same_name_has_no_previous_state() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    let first = discovery::Entry { born: 1, ..setup::entry("i-0", "n-1") };
-    let again = discovery::Entry { born: 2, ..first.clone() };
-    setup::set(&mut dispatcher, std::slice::from_ref(&first), now);
-    dispatcher.sent(&first.id, true, now);
-    dispatcher.sent(&first.id, true, now);
-    dispatcher.ended(&first, outcome::Outcome::NotSent, Duration::ZERO, now);
+    let original = discovery::Entry { born: 1, ..setup::entry("i-0", "n-1") };
+    let restarted = discovery::Entry { born: 2, ..original.clone() };
+    setup::set(&mut dispatcher, std::slice::from_ref(&original), now);
+    dispatcher.sent(&original.id, true, now);
+    dispatcher.sent(&original.id, true, now);
+    dispatcher.ended(&original, outcome::Outcome::NotSent, Duration::ZERO, now);
     assert!(dispatcher.upstreams().all(|u| u.health.is_ejected(now)));
-    setup::set(&mut dispatcher, std::slice::from_ref(&again), now);
+    setup::set(&mut dispatcher, std::slice::from_ref(&restarted), now);
     assert!(dispatcher.in_flight().is_empty());
     assert!(dispatcher.upstreams().all(|u| !u.health.is_ejected(now)));
-    // What was in flight there ends afterwards, and is not taken for a request of the new one.
-    dispatcher.sent(&again.id, true, now);
-    dispatcher.ended(&first, outcome::Outcome::NotSent, Duration::ZERO, now);
+    // A request of the previous process that ends now does not count as one of the new process.
+    dispatcher.sent(&restarted.id, true, now);
+    dispatcher.ended(&original, outcome::Outcome::NotSent, Duration::ZERO, now);
     assert_eq!(dispatcher.in_flight().len(), 1);
     assert!(dispatcher.upstreams().all(|u| !u.health.is_ejected(now)));
-    dispatcher.ended(&again, setup::answered(), Duration::from_millis(1), now);
+    dispatcher.ended(&restarted, setup::answered(), Duration::from_millis(1), now);
     assert!(dispatcher.in_flight().is_empty());
 }
--- a/crates/steer/tests/dispatch/limits.rs
+++ b/crates/steer/tests/dispatch/limits.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name limits: which word counts, who gets what a limit leaves, and where the rest goes.
+//! Upstream limits: which report is valid, which requests are admitted, and where the others go.
 
 use std::sync;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
     limit::Rate::new(per_second).expect("a rate")
 }
 
-fn named(dispatcher: &Dispatcher, upstream: &str) -> Option<f64> {
+fn limit_of(dispatcher: &Dispatcher, upstream: &str) -> Option<f64> {
     let observed = dispatcher.limits().observation(key(upstream))?;
     observed.limit.map(limit::Rate::per_second)
 }
@@ -24,7 +24,7 @@
     peer_load::Key::of(&id::Upstream::new(upstream))
 }
 
-/// What another node reports that an upstream named some time ago.
+/// Creates another node's report of a limit that an upstream set `age` ago.
 fn reported(upstream: &str, limit: Option<f64>, age: Duration) -> Report {
     let announcement =
         announcement::Announcement { upstream: key(upstream), limit: limit.map(rate), age };
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_newest_answer_counts_whoever_got_it_and_whenever_it_is_told() {
+fn the_latest_response_is_valid_whichever_node_received_or_reported_it() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let entry = setup::entry("i-0", "n-1");
@@ -40,59 +40,60 @@
     let other = id::Node::new("other");
     let at = |millis| now + Duration::from_millis(millis);
     dispatcher.observe_limit(&entry, limit::Field::Limit(rate(5.0)), at(100));
-    // It is older than the answer that is known.
+    // The report is older than the known response.
     dispatcher.receive_limits(
         &other,
         &reported("i-0", Some(9.0), Duration::from_millis(80)),
         at(150),
     );
-    assert_eq!(named(&dispatcher, "i-0"), Some(5.0));
+    assert_eq!(limit_of(&dispatcher, "i-0"), Some(5.0));
     dispatcher.receive_limits(
         &other,
         &reported("i-0", Some(3.0), Duration::from_millis(20)),
         at(150),
     );
-    assert_eq!(named(&dispatcher, "i-0"), Some(3.0));
+    assert_eq!(limit_of(&dispatcher, "i-0"), Some(3.0));
     dispatcher.observe_limit(&entry, limit::Field::Absent, at(200));
-    // The limit ended meanwhile; an older word does not bring it back.
+    // The limit was removed in the meantime; an older report does not restore it.
     dispatcher.receive_limits(
         &other,
         &reported("i-0", Some(3.0), Duration::from_millis(90)),
         at(250),
     );
-    assert_eq!(named(&dispatcher, "i-0"), None);
+    assert_eq!(limit_of(&dispatcher, "i-0"), None);
 }
 
 #[test]
-fn an_upstream_that_starts_again_has_no_limit() {
+fn a_restarted_upstream_has_no_limit() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    let former = setup::entry("i-0", "n-1");
-    setup::set(&mut dispatcher, std::slice::from_ref(&former), now);
-    dispatcher.observe_limit(&former, limit::Field::Limit(rate(0.0)), now);
-    let again = model::discovery::Entry { born: 7, ..former.clone() };
+    let previous = setup::entry("i-0", "n-1");
+    setup::set(&mut dispatcher, std::slice::from_ref(&previous), now);
+    dispatcher.observe_limit(&previous, limit::Field::Limit(rate(0.0)), now);
+    let restarted = model::discovery::Entry { born: 7, ..previous.clone() };
     let later = now + Duration::from_millis(50);
-    setup::set(&mut dispatcher, std::slice::from_ref(&again), later);
-    assert_eq!(named(&dispatcher, "i-0"), None);
-    // A late answer of the former one, and a late report of it, say nothing of this one.
-    dispatcher.observe_limit(&former, limit::Field::Limit(rate(0.0)), later);
+    setup::set(&mut dispatcher, std::slice::from_ref(&restarted), later);
+    assert_eq!(limit_of(&dispatcher, "i-0"), None);
+    // A late response or report concerning the previous process does not apply to the new one.
+    dispatcher.observe_limit(&previous, limit::Field::Limit(rate(0.0)), later);
     let report = reported("i-0", Some(0.0), Duration::from_millis(60));
     dispatcher.receive_limits(&id::Node::new("other"), &report, later);
-    assert_eq!(named(&dispatcher, "i-0"), None);
+    assert_eq!(limit_of(&dispatcher, "i-0"), None);
     for key in 0..20 {
         assert!(setup::choose(&mut dispatcher, &setup::route(&[]), key, later).is_ok());
     }
 }
 
-/// Requests that the limits of a region hold back do not come over another one beyond the operator's cap.
+/// Requests that exceed the limits of a region must not flood another region beyond the operator's
+/// shift limit.
 #[test]
-fn what_limits_hold_back_leaves_its_region_within_the_cap_and_is_refused_at_once_else() {
+fn requests_over_the_limits_of_a_region_leave_it_within_the_cap_or_are_refused() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    let entries = setup::many();
+    let entries = setup::six_upstreams();
     setup::set(&mut dispatcher, &entries, now);
     let route = setup::route(&[]);
-    // The split over regions is drawn while nothing is limited yet.
+    // Sets the split between regions before any limit exists.
     assert!(setup::choose(&mut dispatcher, &route, 0, now).is_ok());
     let own = entries.iter().filter(|entry| entry.hall.as_str().starts_with('n'));
     for entry in own {
@@ -115,12 +116,13 @@
     assert!(refused > 200, "{refused} were refused");
 }
 
-/// A region whose upstreams take less has less room, so its share moves to the others, at the operator's pace.
+/// Limits reduce a region's capacity, so its share moves to the other regions within the operator's
+/// shift limit.
 #[test]
-fn a_region_counts_the_room_that_limits_leave() {
+fn limits_reduce_the_capacity_of_a_region() {
     let start = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    let entries = setup::many();
+    let entries = setup::six_upstreams();
     setup::set(&mut dispatcher, &entries, start);
     let route = setup::route(&[]);
     assert!(setup::choose(&mut dispatcher, &route, 0, start).is_ok());
@@ -139,9 +141,10 @@
     assert!(after < before / 2, "{after} of {before} stay");
 }
 
-/// Of two routes of one service the urgent one gets what an upstream takes, and the other one what is left.
+/// If two routes share a limited service, the urgent one is served first and the other one gets the
+/// rest.
 #[test]
-fn urgent_requests_come_first_where_a_limit_is_short() {
+fn urgent_requests_take_precedence_if_a_limit_is_exhausted() {
     let start = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let entry = setup::entry("i-0", "n-1");
@@ -158,7 +161,7 @@
     let routing = routing::Routing::new(1, routes, std::collections::BTreeMap::new(), limits);
     dispatcher.configure(sync::Arc::new(routing));
     dispatcher.observe_limit(&entry, limit::Field::Limit(rate(10.0)), start);
-    // Each asks eight times a second, for twenty seconds.
+    // Each route sends eight requests per second for twenty seconds.
     let (mut of_urgent, mut of_other) = (0, 0);
     for turn in 0..160_u64 {
         let now = start + Duration::from_millis(turn * 125);
--- a/crates/steer/tests/dispatch/main.rs
+++ b/crates/steer/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Dispatch: which upstream takes a request, and what a node may never do.
+//! Tests of dispatch: the choice of an upstream and the limits that every node must observe.
 
 mod choice;
 mod entries;
--- a/crates/steer/tests/dispatch/regions.rs
+++ b/crates/steer/tests/dispatch/regions.rs
@@ -1,4 +1,4 @@
-//! Regions: which share each gets, and how fast that moves.
+//! Regions: the share of each region and how fast it changes.
 
 use std::time::{Duration, Instant};
 
@@ -11,10 +11,10 @@
 use crate::setup;
 
 #[test]
-fn home_no_other_region_serves_a_route_with_homes() {
+fn home_only_home_regions_serve_a_route_that_names_some() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    setup::set(&mut dispatcher, &setup::many(), now);
+    setup::set(&mut dispatcher, &setup::six_upstreams(), now);
     let homes = setup::route(&["south"]);
     for key in 0..100 {
         let chosen = setup::choose(&mut dispatcher, &homes, key, now).expect("south is idle");
@@ -23,7 +23,7 @@
         dispatcher.ended(&chosen, setup::answered(), Duration::from_millis(100), now);
     }
     let elsewhere: Vec<_> =
-        setup::many().into_iter().filter(|e| e.hall.as_str() != "s-1").collect();
+        setup::six_upstreams().into_iter().filter(|e| e.hall.as_str() != "s-1").collect();
     setup::set(&mut dispatcher, &elsewhere, now);
     let exclusions = refusal::Exclusions { known: 4, outside: 4, ..refusal::Exclusions::default() };
     assert_eq!(
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn shift_a_region_that_fails_moves_its_share_no_faster_than_the_bound() {
+fn shift_the_share_of_a_failing_region_moves_no_faster_than_the_bound() {
     let began = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    let all = setup::many();
+    let all = setup::six_upstreams();
     setup::set(&mut dispatcher, &all, began);
     let _ = setup::choose(&mut dispatcher, &setup::route(&[]), 0, began);
     let share = |d: &dispatcher::Dispatcher| {
@@ -44,29 +44,29 @@
         d.splits().next().map_or(0, |(_, split)| split.share(&north))
     };
     let before = share(&dispatcher);
-    // Half of the region's slots go.
+    // Removes half of the region's slots.
     setup::set(&mut dispatcher, &all[1..], began);
     let mut shares = vec![before];
     for tick in 1..=200 {
         dispatcher.tick(began + Duration::from_millis(100) * tick);
         shares.push(share(&dispatcher));
     }
-    assert!(shares.last() < shares.first(), "the share moves in the end");
-    // Default bound: a tenth in two seconds, which is twenty ticks.
+    assert!(shares.last() < shares.first(), "the share must have moved");
+    // The default bound is a tenth per two seconds, that is, per twenty ticks.
     let fastest = shares.windows(21).map(|w| w[0].abs_diff(w[20])).max();
     assert!(fastest <= Some(100_000), "{fastest:?}");
 }
 
 #[test]
-fn shift_few_requests_leave_a_crowded_region() {
+fn shift_few_requests_leave_a_congested_region() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
-    setup::set(&mut dispatcher, &setup::many(), now);
-    let crowd: Vec<_> = ["i-0", "i-1"]
+    setup::set(&mut dispatcher, &setup::six_upstreams(), now);
+    let congestion: Vec<_> = ["i-0", "i-1"]
         .iter()
         .map(|name| (peer_load::Key::of(&id::Upstream::new(name)), 30))
         .collect();
-    dispatcher.set_peer_load(id::Node::new("m"), crowd, now);
+    dispatcher.set_peer_load(id::Node::new("m"), congestion, now);
     let mut in_south = 0;
     let asked = 300;
     for key in 0..asked {
@@ -77,20 +77,20 @@
             in_south += 1;
         }
     }
-    // North keeps half of the slots and so all of its own demand; a bound of a tenth lets 3 in 100
-    // requests leave, and a few at once.
+    // North has half of the slots of the home regions, so its target share is all of its own demand. A
+    // bound of a tenth lets 3 in 100 requests leave, plus a small burst.
     assert!((1..=asked * 3 / 100 + 3).contains(&in_south), "{in_south}");
 }
 
 #[test]
-fn an_idle_region_keeps_what_its_slots_carry() {
+fn a_region_keeps_what_its_slots_can_serve() {
     let capacity = |region: &str, slots| share::Capacity { region: id::Region::new(region), slots };
     let capacities = [capacity("a", 12.0), capacity("b", 48.0), capacity("c", 60.0)];
     let share =
         |split: &steer::common::split::Split, region: &str| split.share(&id::Region::new(region));
     let small = share::target(&id::Region::new("a"), &capacities);
     assert_eq!(share(&small, "a"), 300_000);
-    // The rest goes where there is slack: 8 of 28 to b, 20 of 28 to c.
+    // The rest goes to spare slots: 8 of 28 to b and 20 of 28 to c.
     assert!(share(&small, "b").abs_diff(200_000) <= 2 && share(&small, "c").abs_diff(500_000) <= 2);
     let large = share::target(&id::Region::new("c"), &capacities);
     assert_eq!(share(&large, "c"), 1_000_000);
@@ -98,7 +98,7 @@
 }
 
 quickcheck! {
-    fn a_rotation_keeps_every_share_within_its_lead(weights: Vec<u8>, wants: Vec<u8>) -> bool {
+    fn round_robin_keeps_every_share_within_its_lead(weights: Vec<u8>, wants: Vec<u8>) -> bool {
         let weights: Vec<(usize, f64)> =
             weights.iter().take(5).enumerate().map(|(k, w)| (k, f64::from(*w))).collect();
         let total: f64 = weights.iter().map(|(_, w)| w).sum();
--- a/crates/steer/tests/dispatch/restarts.rs
+++ b/crates/steer/tests/dispatch/restarts.rs
@@ -1,4 +1,4 @@
-//! Limits of the whole fleet of which each node takes its part, while nodes start again and know nothing of before.
+//! Fleet-wide limits that are divided between nodes, while nodes restart and lose their state.
 
 use std::time::{Duration, Instant};
 
@@ -8,15 +8,15 @@
 
 use crate::setup;
 
-/// Nodes of the fleet.
+/// Number of nodes in the fleet.
 const NODES: u64 = 12;
 
-/// What a deployment grants: a fifth of the requests, and some retries beside them.
+/// Retry budget of a deployment: a fifth of the requests plus a fixed number of retries.
 const RATIO: f64 = 0.2;
 const SLACK: f64 = 64.0;
 
-/// Requests a second of a service that few callers use.
-const REQUESTS: u64 = 5;
+/// Request rate of a service with little traffic.
+const REQUESTS_PER_SECOND: u64 = 5;
 
 fn node(number: u64) -> Dispatcher {
     let bounds =
@@ -33,16 +33,16 @@
     dispatcher
 }
 
-/// Each node that started anew had its whole part of the slack again: while twelve were restarted in turn, a service with few
-/// requests got more retries than the fleet may send.
+/// Guards against each restarted node having its full part of the slack again, which gave a service
+/// with little traffic more retries than the fleet may send while twelve nodes were restarted in turn.
 #[test]
-fn a_fleet_that_is_restarted_in_turn_keeps_the_retry_budget() {
+fn a_rolling_restart_of_the_fleet_keeps_the_retry_budget() {
     let start = Instant::now();
     let service = id::Service::new("desk");
     let entry = setup::entry("i-0", "n-1");
     let mut nodes: Vec<Dispatcher> = (0..NODES).map(node).collect();
     let mut retries = Vec::new();
-    // All have their whole slack when each is restarted once within a window.
+    // Every node has its full slack when the restarts, one per node within a window, begin.
     for millis in 0..50_000_u64 {
         let now = start + Duration::from_millis(millis);
         let number = (millis / 500).wrapping_sub(70);
@@ -51,7 +51,7 @@
         }
         let turn = usize::try_from(millis % NODES).expect("a few nodes");
         setup::set(&mut nodes[turn], std::slice::from_ref(&entry), now);
-        if millis % (1_000 / REQUESTS) == 0 {
+        if millis % (1_000 / REQUESTS_PER_SECOND) == 0 {
             nodes[turn].sent(&entry.id, true, now);
         }
         if nodes[turn].may_retry(&service, now) {
@@ -64,14 +64,15 @@
     };
     let most = retries.iter().map(within).max().unwrap_or(0);
     #[expect(clippy::cast_precision_loss, reason = "some tens")]
-    let granted = (REQUESTS * 10) as f64 * RATIO + SLACK;
+    let granted = (REQUESTS_PER_SECOND * 10) as f64 * RATIO + SLACK;
     let most = most as f64;
-    assert!(most <= granted, "{most} retries in a window, {granted} granted");
+    assert!(most <= granted, "{most} retries in a window, at most {granted} allowed");
 }
 
-/// A cold upstream whose owner starts again four times a second gets what its rate and the users' margin allow.
+/// The owner restarts four times per second, and the upstream must still get no more than its rate and
+/// the permitted margin.
 #[test]
-fn a_cold_upstream_whose_owner_starts_again_and_again_gets_no_more_than_it_bears() {
+fn a_cold_upstream_whose_owner_restarts_repeatedly_is_not_overloaded() {
     let start = Instant::now();
     let mut cold = setup::entry("i-0", "n-1");
     cold.cold_left = Duration::from_secs(3);
@@ -96,6 +97,6 @@
     let within =
         |first: &Instant| sent.iter().filter(|at| (*first..*first + second).contains(at)).count();
     let most = sent.iter().map(within).max().unwrap_or(0);
-    // Ten a second, half as many again, and eight.
-    assert!(most <= 23, "{most} in a second");
+    // Ten per second, a margin of half as many, and eight more.
+    assert!(most <= 23, "{most} requests in one second");
 }
--- a/crates/steer/tests/dispatch/setup.rs
+++ b/crates/steer/tests/dispatch/setup.rs
@@ -1,4 +1,4 @@
-//! Upstreams, routes and a dispatcher for the tests.
+//! Test fixtures: upstreams, routes and a dispatcher.
 
 use std::collections;
 use std::net;
@@ -8,8 +8,8 @@
 use model::{bounds, discovery, id, route, routing};
 use steer::dispatch::{dispatcher, outcome, position, refusal, request, urgency};
 
-/// Requests of a test that looks at shares.
-pub const MANY: usize = 400;
+/// Number of requests in tests that spread them over many objects.
+pub const MANY_REQUESTS: usize = 400;
 
 pub fn halls() -> collections::BTreeMap<id::Hall, id::Region> {
     let pairs = [("n-1", "north"), ("n-2", "north"), ("s-1", "south"), ("w-1", "west")];
@@ -99,7 +99,7 @@
     }
 }
 
-pub fn many() -> Vec<discovery::Entry> {
+pub fn six_upstreams() -> Vec<discovery::Entry> {
     let halls = ["n-1", "n-2", "s-1", "s-1", "w-1", "w-1"];
     halls.iter().enumerate().map(|(i, hall)| entry(&format!("i-{i}"), hall)).collect()
 }
--- a/crates/steer/tests/dispatch/slow_start.rs
+++ b/crates/steer/tests/dispatch/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: who sends to a cold upstream, and how much.
+//! Slow start: which node sends to a cold upstream, and at what rate.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 use crate::setup;
 
 #[test]
-fn failback_a_cold_upstream_has_one_owner_and_gets_less_than_it_bears() {
+fn failback_a_cold_upstream_has_one_owner_and_is_not_overloaded() {
     let began = Instant::now();
     let nodes: Vec<id::Node> = (0..8).map(|n| id::Node::new(&format!("n-{n}"))).collect();
     let mut cold = setup::entry("i-0", "n-1");
@@ -33,23 +33,23 @@
             }
         }
     }
-    // Ten a second are borne; three quarters of that are used, and two at once.
+    // The upstream handles ten per second; three quarters of that are used, with a burst of two.
     assert!((1..=10).contains(&sent), "{sent}");
 }
 
 #[test]
-fn failback_an_evacuated_hall_counts_as_cold_when_it_is_taken_back() {
+fn failback_upstreams_of_a_hall_are_cold_after_its_evacuation_ends() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     dispatcher.configure(setup::rules(10.0));
     setup::set(&mut dispatcher, &[setup::entry("i-0", "n-1")], now);
     dispatcher.set_evacuated([id::Hall::new("n-1")].into(), now);
     dispatcher.set_evacuated(collections::BTreeSet::new(), now);
-    assert!(dispatcher.upstreams().all(|b| b.slow_start.is_cold(now)));
+    assert!(dispatcher.upstreams().all(|u| u.slow_start.is_cold(now)));
 }
 
 #[test]
-fn failback_a_cold_upstream_belongs_to_a_node_of_its_region_if_there_is_one() {
+fn failback_a_cold_upstream_is_owned_by_a_node_of_its_region_if_there_is_one() {
     let names = |names: &[&str]| names.iter().map(|n| id::Node::new(n)).collect::<Vec<_>>();
     let (north, south) = (id::Region::new("north"), id::Region::new("south"));
     let listed: collections::BTreeMap<_, _> =
@@ -60,7 +60,7 @@
         let owner = |region| owners.of(&upstream, region, &north);
         assert!(owner(&north).is_some_and(|node| node.as_str().starts_with("n-")));
         assert_eq!(owner(&south), None);
-        // Nobody stands in west, so all nodes agree on one of theirs.
+        // No node is listed in west, so the nodes of all regions share its upstreams.
         assert!(owner(&id::Region::new("west")).is_some());
     }
 }
--- a/crates/steer/tests/load/deployment.rs
+++ b/crates/steer/tests/load/deployment.rs
@@ -1,7 +1,8 @@
-//! A small model of upstreams under a virtual clock: slots, a queue, a speed, and objects that run faster again.
+//! Discrete-event simulation of a deployment: upstreams with slots, a queue and an object cache.
 //!
-//! Dispatchers decide as in the product, and tell each other their loads. Everything is drawn from one seed, so a
-//! load replays exactly. Requests are tried once: a refusal of an upstream ends them.
+//! The gateways run the real dispatchers and report their loads to each other. All random values derive
+//! from one seed and time is virtual, so a simulation is reproducible. Requests are not retried: a
+//! refusal by an upstream ends them.
 
 use std::cmp;
 use std::collections;
@@ -16,25 +17,25 @@
     dispatcher, outcome, peer_load, position, request, seen_objects, slow_start_owner, urgency,
 };
 
-/// Time between two reports of loads, as between gateways.
-const REPORT: Duration = Duration::from_millis(100);
+/// Interval between load reports, as between real gateways.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two ticks of a dispatcher, as in a gateway.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval between ticks of a dispatcher, as in a real gateway.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Requests that an upstream queues for each slot.
-const QUEUE: usize = 3;
+/// Queue capacity of an upstream per slot, in requests.
+const QUEUE_PER_SLOT: usize = 3;
 
-/// Time for which an upstream that joins is cold.
-const COLD: Duration = Duration::from_secs(3);
+/// Time for which a new upstream is cold.
+const COLD_TIME: Duration = Duration::from_secs(3);
 
-/// Requests a second that a cold upstream bears.
+/// Requests per second that a cold upstream can handle.
 const COLD_RATE: f64 = 3.8;
 
-/// What work takes at a cold upstream, as a multiple.
-const COLD_WORK: f64 = 2.0;
+/// Processing time at a cold upstream, as a multiple of that at a warm one.
+const COLD_WORK_FACTOR: f64 = 2.0;
 
-/// Region with its upstreams.
+/// A region with its number of upstreams and gateways.
 #[derive(Clone, Debug)]
 pub struct Region {
     pub name: &'static str,
@@ -42,17 +43,17 @@
     pub gateways: usize,
 }
 
-/// One route's load.
+/// Load of one route.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub route: route::Route,
-    /// Requests a second, in each region.
+    /// Requests per second in each region.
     pub rate: f64,
-    /// Time of work at a first sight of the object.
-    pub first: Duration,
-    /// Time of work once the upstream has seen the object.
-    pub again: Duration,
-    /// Objects of each region.
+    /// Processing time if the upstream does not have the object cached.
+    pub uncached_work: Duration,
+    /// Processing time if the upstream has the object cached.
+    pub cached_work: Duration,
+    /// Number of objects that are requested in each region.
     pub objects: u64,
 }
 
@@ -61,72 +62,73 @@
 pub struct Plan {
     pub regions: Vec<Region>,
     pub slots: u32,
-    /// Objects that an upstream remembers.
-    pub remembers: usize,
-    /// Time between regions, one way.
-    pub way: Duration,
+    /// Number of objects in an upstream's cache.
+    pub cache_size: usize,
+    /// One-way network latency between regions.
+    pub latency: Duration,
     pub loads: Vec<Load>,
-    pub length: Duration,
-    /// Time at the start that is not counted.
+    pub duration: Duration,
+    /// Time at the start that is excluded from the tallies.
     pub warm_up: Duration,
-    /// Empty upstreams that join.
+    /// Upstreams that are added during the simulation.
     pub join: Option<Join>,
 }
 
-/// Empty upstreams that join each region at once. They are cold: for a while they bear few requests and work slowly.
+/// Cold upstreams with empty caches that join every region at the same time. While cold, they handle few
+/// requests and process them slowly.
 #[derive(Clone, Debug)]
 pub struct Join {
     pub at: Duration,
-    /// Upstreams that join each region.
+    /// Number of upstreams that join each region.
     pub upstreams: usize,
-    /// Nodes of each region that may own cold upstreams and take no requests of callers.
+    /// Number of nodes per region that may own cold upstreams but receive no requests from callers.
     pub idle_owners: usize,
 }
 
-/// What became of the requests of one route that entered in one region.
+/// Results of the requests of one route that arrived in one region.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    pub asked: u32,
+    pub total: u32,
     pub in_time: u32,
     pub late: u32,
     pub refused: u32,
-    /// Runs of an object that the upstream did not remember.
-    pub first_sights: u32,
-    /// Answers of upstreams that joined.
+    /// Requests for an object that was not in the upstream's cache.
+    pub cache_misses: u32,
+    /// Requests answered by upstreams that joined during the simulation.
     pub at_joined: u32,
 }
 
 impl Tally {
     pub fn share(&self, of: u32) -> f64 {
-        f64::from(of) / f64::from(self.asked.max(1))
+        f64::from(of) / f64::from(self.total.max(1))
     }
 }
 
 /// Tallies by route and region.
 pub type Tallies = collections::BTreeMap<(String, &'static str), Tally>;
 
-/// Returns the tallies of a route over all regions.
+/// Returns the sum of a route's tallies over all regions.
 pub fn of_route(tallies: &Tallies, route: &str) -> Tally {
     sum(tallies.iter().filter(|((name, _), _)| name == route).map(|(_, tally)| tally))
 }
 
-/// Returns the tallies of a region over all routes.
+/// Returns the sum of a region's tallies over all routes.
 pub fn of_region(tallies: &Tallies, region: &str) -> Tally {
     sum(tallies.iter().filter(|((_, name), _)| *name == region).map(|(_, tally)| tally))
 }
 
 fn sum<'a>(tallies: impl Iterator<Item = &'a Tally>) -> Tally {
     tallies.fold(Tally::default(), |a, b| Tally {
-        asked: a.asked + b.asked,
+        total: a.total + b.total,
         in_time: a.in_time + b.in_time,
         late: a.late + b.late,
         refused: a.refused + b.refused,
-        first_sights: a.first_sights + b.first_sights,
+        cache_misses: a.cache_misses + b.cache_misses,
         at_joined: a.at_joined + b.at_joined,
     })
 }
 
-/// Returns a route of the one service.
+/// Creates a route to the only service.
 pub fn route(name: &str, priority: u32, target: Duration) -> route::Route {
     route::Route {
         name: id::Route::new(name),
@@ -152,7 +154,7 @@
     sent: Instant,
     crowding: f64,
     known: Option<seen_objects::Object>,
-    is_first_sight: bool,
+    is_cache_miss: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -172,12 +174,12 @@
     region: usize,
     running: u32,
     waiting: collections::VecDeque<Job>,
-    /// Objects, the latest last.
+    /// Cached objects, the most recently used last.
     objects: Vec<u64>,
     joined: Option<Instant>,
 }
 
-struct World {
+struct Simulation {
     plan: Plan,
     began: Instant,
     events: collections::BTreeMap<(Instant, u64), Event>,
@@ -188,23 +190,23 @@
     tallies: Tallies,
 }
 
-/// Plays a plan; returns what became of its requests after the warm-up.
-pub fn play(plan: &Plan, seed: u64) -> Tallies {
-    let mut world = World::new(plan.clone(), seed);
-    let end = world.began + plan.length;
-    while let Some(((now, _), event)) = world.events.pop_first() {
+/// Simulates a plan and returns the tallies of the requests after the warm-up.
+pub fn simulate(plan: &Plan, seed: u64) -> Tallies {
+    let mut simulation = Simulation::new(plan.clone(), seed);
+    let end = simulation.began + plan.duration;
+    while let Some(((now, _), event)) = simulation.events.pop_first() {
         if now > end {
             break;
         }
-        world.apply(event, now);
+        simulation.apply(event, now);
     }
-    world.tallies
+    simulation.tallies
 }
 
-impl World {
+impl Simulation {
     fn new(plan: Plan, seed: u64) -> Self {
         let began = Instant::now();
-        let mut world = Self {
+        let mut simulation = Self {
             upstreams: upstreams(&plan),
             gateways: gateways(&plan),
             random: rand::rngs::StdRng::seed_from_u64(seed),
@@ -215,31 +217,31 @@
             began,
         };
         let entries: Vec<_> =
-            world.upstreams.iter().map(|u| sync::Arc::new(u.entry.clone())).collect();
-        let routes = world.plan.loads.iter().map(|load| load.route.clone()).collect();
+            simulation.upstreams.iter().map(|u| sync::Arc::new(u.entry.clone())).collect();
+        let routes = simulation.plan.loads.iter().map(|load| load.route.clone()).collect();
         let limits = routing::CallerLimits::default();
         let services = collections::BTreeMap::from([(id::Service::new("desk"), service_rules())]);
         let routing = sync::Arc::new(routing::Routing::new(1, routes, services, limits));
-        let owners = owners(&world.plan, &world.gateways);
-        for (gateway, region) in &mut world.gateways {
+        let owners = owners(&simulation.plan, &simulation.gateways);
+        for (gateway, region) in &mut simulation.gateways {
             gateway.configure(sync::Arc::clone(&routing));
             gateway.set_upstreams(entries.iter().cloned(), began);
             gateway.set_nodes(owners[*region].clone(), owners[*region].near.len(), began);
         }
-        if let Some(join) = &world.plan.join {
-            world.at(began + join.at, Event::Join);
+        if let Some(join) = &simulation.plan.join {
+            simulation.schedule(began + join.at, Event::Join);
         }
-        for gateway in 0..world.gateways.len() {
-            for load in 0..world.plan.loads.len() {
-                world.next_request(load, gateway, began);
+        for gateway in 0..simulation.gateways.len() {
+            for load in 0..simulation.plan.loads.len() {
+                simulation.next_request(load, gateway, began);
             }
         }
-        world.at(began + REPORT, Event::Report);
-        world.at(began + TICK, Event::Tick);
-        world
+        simulation.schedule(began + REPORT_INTERVAL, Event::Report);
+        simulation.schedule(began + TICK_INTERVAL, Event::Tick);
+        simulation
     }
 
-    fn at(&mut self, at: Instant, event: Event) {
+    fn schedule(&mut self, at: Instant, event: Event) {
         self.count += 1;
         self.events.insert((at, self.count), event);
     }
@@ -249,7 +251,7 @@
         let rate = self.plan.loads[load].rate / region.gateways as f64;
         let uniform: f64 = self.random.random_range(0.0..1.0);
         let pause = Duration::from_secs_f64(-(1.0 - uniform).ln() / rate);
-        self.at(now + pause, Event::Request { load, gateway });
+        self.schedule(now + pause, Event::Request { load, gateway });
     }
 
     fn apply(&mut self, event: Event, now: Instant) {
@@ -273,7 +275,7 @@
                 for (gateway, _) in &mut self.gateways {
                     gateway.tick(now);
                 }
-                self.at(now + TICK, Event::Tick);
+                self.schedule(now + TICK_INTERVAL, Event::Tick);
             }
         }
     }
@@ -303,7 +305,7 @@
             sent: now,
             crowding: 1.0,
             known: None,
-            is_first_sight: false,
+            is_cache_miss: false,
         };
         let Ok(chosen) = chosen else {
             self.tally(&job, now, |tally| tally.refused += 1);
@@ -313,18 +315,18 @@
         job.known = chosen.object;
         let of_id = |u: &Upstream| u.entry.id == chosen.entry.id;
         let upstream = self.upstreams.iter().position(of_id).expect("it is one of the upstreams");
-        let way = self.way(gateway, upstream);
-        self.at(now + way, Event::Arrives { upstream, job });
+        let delay = self.latency(gateway, upstream);
+        self.schedule(now + delay, Event::Arrives { upstream, job });
     }
 
-    /// Lets empty upstreams join, which all gateways learn at once.
+    /// Adds the joining upstreams, which all gateways discover immediately.
     fn join(&mut self, now: Instant) {
         let Some(join) = &self.plan.join else { return };
         for (index, region) in self.plan.regions.iter().enumerate() {
             for number in 0..join.upstreams {
                 let mut joined =
                     upstream(index, region, region.upstreams + number, self.plan.slots);
-                joined.entry.cold_left = COLD;
+                joined.entry.cold_left = COLD_TIME;
                 joined.joined = Some(now);
                 self.upstreams.push(joined);
             }
@@ -336,54 +338,54 @@
         }
     }
 
-    fn way(&self, gateway: usize, upstream: usize) -> Duration {
+    fn latency(&self, gateway: usize, upstream: usize) -> Duration {
         match self.gateways[gateway].1 == self.upstreams[upstream].region {
             true => Duration::ZERO,
-            false => self.plan.way,
+            false => self.plan.latency,
         }
     }
 
     fn arrive(&mut self, upstream: usize, job: Job, now: Instant) {
         let slots = self.plan.slots;
-        let there = &mut self.upstreams[upstream];
-        if there.running < slots {
+        let destination = &mut self.upstreams[upstream];
+        if destination.running < slots {
             self.start(upstream, job, now);
-        } else if there.waiting.len() < QUEUE * slots as usize {
-            there.waiting.push_back(job);
+        } else if destination.waiting.len() < QUEUE_PER_SLOT * slots as usize {
+            destination.waiting.push_back(job);
         } else {
-            let load = there.load(slots);
-            let way = self.way(job.gateway, upstream);
-            self.at(now + way, Event::TurnedAway { upstream, job, load });
+            let load = destination.load(slots);
+            let delay = self.latency(job.gateway, upstream);
+            self.schedule(now + delay, Event::TurnedAway { upstream, job, load });
         }
     }
 
     fn start(&mut self, upstream: usize, mut job: Job, now: Instant) {
         let load = &self.plan.loads[job.load];
-        let there = &mut self.upstreams[upstream];
-        there.running += 1;
-        job.is_first_sight = !there.objects.contains(&job.object);
-        let mean = if job.is_first_sight { load.first } else { load.again };
-        let is_cold = there.joined.is_some_and(|joined| now < joined + COLD);
-        let mean = if is_cold { mean.mul_f64(COLD_WORK) } else { mean };
+        let destination = &mut self.upstreams[upstream];
+        destination.running += 1;
+        job.is_cache_miss = !destination.objects.contains(&job.object);
+        let mean = if job.is_cache_miss { load.uncached_work } else { load.cached_work };
+        let is_cold = destination.joined.is_some_and(|joined| now < joined + COLD_TIME);
+        let mean = if is_cold { mean.mul_f64(COLD_WORK_FACTOR) } else { mean };
         let work = mean.mul_f64(self.random.random_range(0.85..1.15));
-        self.at(now + work, Event::Ends { upstream, job });
+        self.schedule(now + work, Event::Ends { upstream, job });
     }
 
     fn end(&mut self, upstream: usize, job: Job, now: Instant) {
-        let (slots, remembers) = (self.plan.slots, self.plan.remembers);
-        let there = &mut self.upstreams[upstream];
-        there.running -= 1;
-        there.objects.retain(|object| *object != job.object);
-        there.objects.push(job.object);
-        let surplus = there.objects.len().saturating_sub(remembers);
-        there.objects.drain(..surplus);
-        let next = there.waiting.pop_front();
+        let (slots, cache_size) = (self.plan.slots, self.plan.cache_size);
+        let destination = &mut self.upstreams[upstream];
+        destination.running -= 1;
+        destination.objects.retain(|object| *object != job.object);
+        destination.objects.push(job.object);
+        let surplus = destination.objects.len().saturating_sub(cache_size);
+        destination.objects.drain(..surplus);
+        let next = destination.waiting.pop_front();
         if let Some(next) = next {
             self.start(upstream, next, now);
         }
         let load = self.upstreams[upstream].load(slots);
-        let way = self.way(job.gateway, upstream);
-        self.at(now + way, Event::Answered { upstream, job, load });
+        let delay = self.latency(job.gateway, upstream);
+        self.schedule(now + delay, Event::Answered { upstream, job, load });
     }
 
     fn answered(&mut self, upstream: usize, job: &Job, load: model::load::Report, now: Instant) {
@@ -396,7 +398,7 @@
         let has_joined = self.upstreams[upstream].joined.is_some();
         self.tally(job, now, |tally| {
             tally.at_joined += u32::from(has_joined);
-            tally.first_sights += u32::from(job.is_first_sight);
+            tally.cache_misses += u32::from(job.is_cache_miss);
             match latency <= target {
                 true => tally.in_time += 1,
                 false => tally.late += 1,
@@ -411,7 +413,7 @@
         let region = self.plan.regions[self.gateways[job.gateway].1].name;
         let route = self.plan.loads[job.load].route.name.as_str().to_owned();
         let tally = self.tallies.entry((route, region)).or_default();
-        tally.asked += 1;
+        tally.total += 1;
         count(tally);
     }
 
@@ -423,7 +425,7 @@
                 gateway.set_peer_load(id::Node::new(&format!("g-{from}")), report, now);
             }
         }
-        self.at(now + REPORT, Event::Report);
+        self.schedule(now + REPORT_INTERVAL, Event::Report);
     }
 }
 
@@ -464,13 +466,13 @@
 fn service_rules() -> routing::ServiceRules {
     routing::ServiceRules {
         max_connections: None,
-        cold_start: COLD,
+        cold_start: COLD_TIME,
         cold_rate: Some(COLD_RATE),
         shed: Vec::new(),
     }
 }
 
-/// Returns the nodes that own cold upstreams, for each region.
+/// Returns the nodes that may own cold upstreams, for each region.
 fn owners(
     plan: &Plan,
     gateways: &[(dispatcher::Dispatcher, usize)],
--- a/crates/steer/tests/load/main.rs
+++ b/crates/steer/tests/load/main.rs
@@ -1,4 +1,4 @@
-//! Loads that decisions answer, replayed on a model of upstreams.
+//! Load tests of the dispatch rules on a simulated deployment.
 
 mod deployment;
 mod replays;
--- a/crates/steer/tests/load/replays.rs
+++ b/crates/steer/tests/load/replays.rs
@@ -1,10 +1,11 @@
-//! Loads and what comes of them. Each test names the figure with its rule taken out, on the same seeds.
+//! Simulated loads and their results. Each test states the result without the rule that it covers, for
+//! the same seeds.
 
 use std::time::Duration;
 
 use crate::deployment::{self, Load, Plan, Region, Tally};
 
-/// Seeds of each replay; a bound holds for their mean.
+/// Seeds of each simulation; the asserted bounds apply to the mean over all seeds.
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 const MS: Duration = Duration::from_millis(1);
@@ -17,8 +18,8 @@
     Load {
         route: deployment::route(name, priority, target),
         rate,
-        first: 360 * MS,
-        again: 108 * MS,
+        uncached_work: 360 * MS,
+        cached_work: 108 * MS,
         objects: 60,
     }
 }
@@ -27,133 +28,144 @@
     Plan {
         regions,
         slots,
-        remembers: 49,
-        way: 20 * MS,
+        cache_size: 49,
+        latency: 20 * MS,
         loads,
-        length: Duration::from_secs(30),
+        duration: Duration::from_secs(30),
         warm_up: Duration::from_secs(6),
         join: None,
     }
 }
 
-/// Returns the mean, over the seeds, of a figure of a route's requests in all regions.
-fn mean(plan: &Plan, route: &str, figure: fn(&Tally) -> u32) -> f64 {
+/// Returns the mean, over the seeds, of the share of a route's requests in all regions that `count`
+/// selects.
+fn mean_share(plan: &Plan, route: &str, count: fn(&Tally) -> u32) -> f64 {
     let share = |seed| {
-        let tally = deployment::of_route(&deployment::play(plan, seed), route);
-        tally.share(figure(&tally))
+        let tally = deployment::of_route(&deployment::simulate(plan, seed), route);
+        tally.share(count(&tally))
     };
     SEEDS.map(share).iter().sum::<f64>() / SEEDS.len() as f64
 }
 
-/// Two routes share a service, the urgent one with `urgent` requests a second in each of three regions.
-fn shared(urgent: f64, patient: f64) -> Plan {
+/// Two routes of one service, with `urgent` and `patient` requests per second in each of three regions.
+fn two_routes(urgent: f64, patient: f64) -> Plan {
     let loads = vec![load("urgent", 0, 250 * MS, urgent), load("patient", 2, 250 * MS, patient)];
     plan(vec![region("a", 3), region("b", 3), region("c", 3)], 5, loads)
 }
 
-/// A service is short by a quarter, and a quarter of its requests are urgent.
+/// The service lacks a quarter of the required capacity, and a quarter of its requests are urgent.
 ///
-/// Without the rule 13.6 % of the urgent ones are refused and 67.1 % are in time.
+/// Without priorities, 13.6 % of the urgent requests are refused and 67.1 % are in time.
 #[test]
-fn priority_urgent_requests_are_served_in_time_where_a_service_is_short() {
-    let plan = shared(34.0, 100.0);
-    let refused = mean(&plan, "urgent", |tally| tally.refused);
+fn priority_urgent_requests_are_in_time_if_capacity_is_short() {
+    let plan = two_routes(34.0, 100.0);
+    let refused = mean_share(&plan, "urgent", |tally| tally.refused);
     assert!(refused <= 0.02, "{refused:.3} refused");
-    let in_time = mean(&plan, "urgent", |tally| tally.in_time);
+    let in_time = mean_share(&plan, "urgent", |tally| tally.in_time);
     assert!(in_time >= 0.80, "{in_time:.3} in time");
 }
 
-/// Urgent requests alone are more than the service holds; others keep a quarter of the service of all.
+/// The urgent requests alone exceed the capacity of the service. The less urgent ones must still be
+/// served at a quarter of the rate of the urgent ones.
 #[test]
 fn priority_the_least_urgent_route_is_not_starved() {
-    let plan = shared(170.0, 40.0);
-    let served = |route| mean(&plan, route, |tally| tally.in_time + tally.late);
+    let plan = two_routes(170.0, 40.0);
+    let served = |route| mean_share(&plan, route, |tally| tally.in_time + tally.late);
     let (urgent, patient) = (served("urgent"), served("patient"));
-    assert!(patient >= urgent / 4.0, "{patient:.3} beside {urgent:.3}");
+    assert!(
+        patient >= urgent / 4.0,
+        "{patient:.3} of the patient and {urgent:.3} of the urgent requests served"
+    );
 }
 
-/// Many upstreams with one slot each, at seven tenths of what they bear.
+/// Many upstreams with one slot each, at seven tenths of their capacity.
 ///
-/// Where an upstream that has seen the object costs as much as any other, 78.8 % are in time.
+/// If upstreams that have seen an object cost as much as any other, 78.8 % of the requests are in time.
 #[test]
-fn seen_objects_upstreams_with_one_slot_share_their_objects() {
+fn seen_objects_upstreams_with_one_slot_share_objects() {
     let plan = plan(vec![region("a", 24)], 1, vec![load("reads", 0, 250 * MS, 150.0)]);
-    let in_time = mean(&plan, "reads", |tally| tally.in_time);
+    let in_time = mean_share(&plan, "reads", |tally| tally.in_time);
     assert!(in_time >= 0.81, "{in_time:.3} in time");
 }
 
-/// Upstreams that remember six objects, of ten that come to each.
+/// Upstreams that cache six of the ten objects requested from each.
 ///
-/// Where it is not observed what runs at other upstreams take, 48.8 % of the runs are of forgotten objects.
+/// If the processing time at other upstreams is not measured, 48.8 % of the requests are for evicted
+/// objects.
 #[test]
-fn seen_objects_upstreams_that_forget_keep_their_own_objects() {
+fn seen_objects_upstreams_with_small_caches_keep_their_own_objects() {
     let mut plan = plan(vec![region("a", 6)], 5, vec![load("reads", 0, 250 * MS, 120.0)]);
-    plan.remembers = 6;
-    let forgotten = mean(&plan, "reads", |tally| tally.first_sights);
-    assert!(forgotten <= 0.47, "{forgotten:.3} forgotten");
+    plan.cache_size = 6;
+    let evicted = mean_share(&plan, "reads", |tally| tally.cache_misses);
+    assert!(evicted <= 0.47, "{evicted:.3} evicted");
 }
 
-/// A small region whose neighbours are too far for its target latency.
+/// A small region whose neighbours cannot respond within the target latency.
 ///
-/// Without the rule 34.3 % of its requests are in time.
+/// Without the rule, 34.3 % of its requests are in time.
 #[test]
-fn distance_a_small_region_keeps_what_others_would_answer_late() {
+fn distance_a_small_region_keeps_requests_that_others_would_answer_late() {
     let regions = vec![region("small", 2), region("b", 8), region("c", 8)];
     let mut plan = plan(regions, 5, vec![load("reads", 0, 250 * MS, 75.0)]);
-    plan.way = 90 * MS;
+    plan.latency = 90 * MS;
     let share = |seed| {
-        let small = deployment::of_region(&deployment::play(&plan, seed), "small");
+        let small = deployment::of_region(&deployment::simulate(&plan, seed), "small");
         small.share(small.in_time)
     };
     let in_time = SEEDS.map(share).iter().sum::<f64>() / SEEDS.len() as f64;
     assert!(in_time >= 0.55, "{in_time:.3} in time");
 }
 
-/// Three regions of unequal room, so that many objects belong to two regions.
+/// Three regions of unequal capacity, so that many objects are served by two regions.
 ///
-/// With a lead of 5 requests 1.42 % of the runs are of objects that are new to their upstream, with 1 2.13 %.
+/// With a lead of 5 requests, 1.42 % of the requests are for objects new to their upstream, and with a
+/// lead of 1, 2.13 %.
 #[test]
 fn lead_objects_stay_in_their_region() {
     let regions = vec![region("small", 2), region("b", 8), region("c", 8)];
     let mut load = load("reads", 0, 250 * MS, 180.0);
     load.objects = 120;
-    let new = mean(&plan(regions, 5, vec![load]), "reads", |tally| tally.first_sights);
-    assert!(new <= 0.0138, "{new:.4} new");
+    let new = mean_share(&plan(regions, 5, vec![load]), "reads", |tally| tally.cache_misses);
+    assert!(new <= 0.0138, "{new:.4} cache misses");
 }
 
-/// Three regions near what they bear; one has too few upstreams for its objects.
+/// Three regions near their capacity, one of which has too few upstreams for its objects.
 ///
-/// Where waits alone are compared, 88.6 % are in time, since objects that leave are new to their upstream there.
+/// If only queueing times are compared, 88.6 % of the requests are in time, since objects that leave
+/// their region are not cached in the other one.
 #[test]
-fn overflow_leaves_a_crowded_region_only_where_the_answer_is_sooner() {
+fn overflow_leaves_a_congested_region_only_for_a_sooner_response() {
     let regions = vec![region("small", 2), region("b", 6), region("c", 6)];
     let mut load = load("reads", 0, 250 * MS, 190.0);
     load.objects = 90;
-    let in_time = mean(&plan(regions, 5, vec![load]), "reads", |tally| tally.in_time);
+    let in_time = mean_share(&plan(regions, 5, vec![load]), "reads", |tally| tally.in_time);
     assert!(in_time >= 0.91, "{in_time:.3} in time");
 }
 
-/// Three tenths more upstreams join a busy region, empty and cold; `idle_owners` more nodes may own them.
+/// Three tenths more upstreams, cold and with empty caches, join each busy region. In each region,
+/// `idle_owners` nodes without traffic may own cold upstreams as well.
 ///
-/// Returns the share of requests in time, and of those answered by them, in the three seconds while they are cold.
-fn after_a_join(idle_owners: usize) -> (f64, f64) {
+/// Returns the share of requests in time and the share answered by the new upstreams, both in the three
+/// seconds during which these are cold.
+fn simulate_join(idle_owners: usize) -> (f64, f64) {
     let mut load = load("reads", 0, 250 * MS, 230.0);
     load.objects = 100;
     let mut plan = plan(vec![region("a", 10), region("b", 10)], 5, vec![load]);
     plan.warm_up = Duration::from_secs(12);
-    plan.length = Duration::from_secs(15);
+    plan.duration = Duration::from_secs(15);
     plan.join = Some(deployment::Join { at: plan.warm_up, upstreams: 3, idle_owners });
-    let in_time = mean(&plan, "reads", |tally| tally.in_time);
-    (in_time, mean(&plan, "reads", |tally| tally.at_joined))
+    let in_time = mean_share(&plan, "reads", |tally| tally.in_time);
+    (in_time, mean_share(&plan, "reads", |tally| tally.at_joined))
 }
 
-/// Where nodes that no caller uses own the cold upstreams, these get nothing while they are cold: 1.5 % of the answers of
-/// the five seconds, after they are warm, in place of 4 %.
+/// Guards against nodes without traffic owning cold upstreams, which then get no requests while they
+/// are cold. In a window of five seconds, they then gave 1.5 % instead of 4 % of the responses, all of
+/// them after they were warm.
 #[test]
-fn join_empty_upstreams_get_work_at_once_and_nobody_waits_for_it() {
-    let (in_time, at_joined) = after_a_join(0);
-    println!("{in_time:.3} in time, {at_joined:.4} at those that joined");
-    let (in_time_idle, at_joined_idle) = after_a_join(90);
+fn join_cold_upstreams_get_requests_at_once_without_delaying_them() {
+    let (in_time, at_joined) = simulate_join(0);
+    println!("{in_time:.3} in time, {at_joined:.4} answered by new upstreams");
+    let (in_time_idle, at_joined_idle) = simulate_join(90);
     println!("{in_time_idle:.3} in time, {at_joined_idle:.4} with idle owners");
     assert!(at_joined >= 2.0 * at_joined_idle);
     assert!(in_time >= 0.9);
--- a/crates/steer/tests/selection.rs
+++ b/crates/steer/tests/selection.rs
@@ -1,6 +1,6 @@
-//! Choices among many upstreams are those of a plain search over all of them.
+//! Compares the selection among many upstreams with an exhaustive search.
 //!
-//! The oracle ranks, sorts and rates every eligible upstream, as selection once did for each request.
+//! The oracle sorts and scores every eligible upstream without an index or cached orders.
 
 use std::cmp;
 use std::collections;
@@ -16,19 +16,20 @@
     urgency,
 };
 
-/// Drawn states of a region.
+/// Number of randomly generated region states.
 const STATES: u64 = 4_000;
 
-/// Most upstreams of a drawn region.
-const MOST: usize = 60;
+/// Maximum number of upstreams in a generated region.
+const MAX_UPSTREAMS: usize = 60;
 
-/// Added cost of an upstream all of whose tries fail.
-const FAILURE_COST: f64 = 6.0;
+/// Additional cost of an upstream at a failure rate of 1, as in `selection`.
+const FAILURE_COST_FACTOR: f64 = 6.0;
 
 mod oracle {
     use super::*;
 
-    /// Returns the eligible upstreams that may be chosen, in the order of the object's preference.
+    /// Returns the eligible healthy upstreams, or all if none is healthy, in the object's order of
+    /// preference.
     pub fn ranked<'a>(
         eligible: &[&'a upstream::Upstream],
         key: u64,
@@ -46,32 +47,34 @@
         ranked
     }
 
-    /// Returns the cheapest of the ranked upstreams, with its wait.
+    /// Returns the ranked upstream with the lowest cost and its wait in seconds.
     pub fn cheapest<'a>(
         ranked: &[&'a upstream::Upstream],
         request: &request::Request<'_>,
         work: expected_work::Work,
         now: Instant,
     ) -> Option<(&'a upstream::Upstream, f64)> {
-        let rate = |(rank, u): (usize, &&'a upstream::Upstream)| {
+        let score = |(rank, u): (usize, &&'a upstream::Upstream)| {
             let sight = match request.route.is_sticky {
                 true => seen_objects::Sight::of(u.objects.contains(request.key), rank),
                 false => seen_objects::Sight::Preferred,
             };
-            let of_rank = affinity::cost(request.route.is_sticky, rank);
-            let of_object = match sight {
-                seen_objects::Sight::SeenElsewhere => of_rank.min(affinity::seen_cost(work)),
-                _ => of_rank,
+            let affinity_factor = affinity::cost(request.route.is_sticky, rank);
+            let object_factor = match sight {
+                seen_objects::Sight::SeenElsewhere => {
+                    affinity_factor.min(affinity::seen_cost(work))
+                }
+                _ => affinity_factor,
             };
-            let of_failures = 1.0 + u.health.failure_rate(now) * FAILURE_COST;
+            let failure_factor = 1.0 + u.health.failure_rate(now) * FAILURE_COST_FACTOR;
             let time = u.health.work(work.mean(), now).0 * u.crowding(now);
-            (*u, u.wait(work.mean(), now).0, time * of_object * of_failures)
+            (*u, u.wait(work.mean(), now).0, time * object_factor * failure_factor)
         };
-        let rated: Vec<_> = ranked.iter().enumerate().map(rate).collect();
+        let scored: Vec<_> = ranked.iter().enumerate().map(score).collect();
         let cost = |a: &&(_, f64, f64), b: &&(_, f64, f64)| {
             a.2.partial_cmp(&b.2).unwrap_or(cmp::Ordering::Equal)
         };
-        let &(cheapest, wait, _) = rated.iter().min_by(cost)?;
+        let &(cheapest, wait, _) = scored.iter().min_by(cost)?;
         Some((cheapest, wait))
     }
 }
@@ -96,7 +99,7 @@
         prefix: "/".to_owned(),
         repetition: route::Kind::Idempotent,
         timeout: Duration::from_secs(2),
-        // Long, so that no wait is a reason to leave the cheapest upstream.
+        // Long enough that the wait never rules out the cheapest upstream.
         target_latency: Duration::from_secs(100),
         priority: 0,
         parts: vec![route::Part { service: id::Service::new("desk"), weight: 1 }],
@@ -107,8 +110,8 @@
     }
 }
 
-/// Returns an upstream of which a drawn history is known.
-fn drawn(
+/// Creates an upstream with a random history.
+fn random_upstream(
     number: usize,
     random: &mut rand::rngs::StdRng,
     key: u64,
@@ -135,14 +138,14 @@
 }
 
 #[test]
-fn choices_among_many_upstreams_are_those_of_a_plain_search() {
+fn selection_matches_an_exhaustive_search() {
     let now = Instant::now();
     let mut random = rand::rngs::StdRng::seed_from_u64(1);
     let (service, region) = (id::Service::new("desk"), id::Region::new("north"));
-    let (mut whole, mut same) = (0_u32, 0_u32);
+    let (mut compared, mut same) = (0_u32, 0_u32);
     for key in 0..STATES {
-        let size = random.random_range(1..=MOST);
-        let upstreams = (0..size).map(|n| drawn(n, &mut random, key, now)).collect();
+        let size = random.random_range(1..=MAX_UPSTREAMS);
+        let upstreams = (0..size).map(|n| random_upstream(n, &mut random, key, now)).collect();
         let mut index = index::Index::new(upstreams);
         index.prepare_order(&service, &region, key);
         let excluded = random.random_range(0.0..0.4);
@@ -169,25 +172,26 @@
 
         let eligible: Vec<_> = index.iter().filter(is_eligible).collect();
         let ranked = oracle::ranked(&eligible, key, work.mean(), now);
-        let few = &ranked[..ranked.len().min(selection::MAX_CANDIDATES)];
-        let expected = oracle::cheapest(few, &request, work, now);
+        let most_preferred = &ranked[..ranked.len().min(selection::MAX_CANDIDATES)];
+        let expected = oracle::cheapest(most_preferred, &request, work, now);
         assert_eq!(
             chosen.as_ref().map(|c| (&c.entry.id, c.wait.0)),
             expected.map(|(upstream, wait)| (&upstream.entry.id, wait)),
             "state {key} of {size} upstreams"
         );
-        if let Some((of_all, _)) = oracle::cheapest(&ranked, &request, work, now) {
-            whole += 1;
-            same += u32::from(chosen.is_some_and(|c| c.entry.id == of_all.entry.id));
+        if let Some((cheapest_of_all, _)) = oracle::cheapest(&ranked, &request, work, now) {
+            compared += 1;
+            same += u32::from(chosen.is_some_and(|c| c.entry.id == cheapest_of_all.entry.id));
         }
     }
-    // Others cost as much as one of the few, or are idle while the few are crowded.
-    println!("{same} of {whole} as among all");
-    assert!(f64::from(same) >= f64::from(whole) * 0.6, "{same} of {whole}");
+    // The choices differ if an upstream beyond the most preferred ones costs the same or is idle while
+    // the most preferred ones are busy.
+    println!("{same} of {compared} choices are the cheapest of all upstreams");
+    assert!(f64::from(same) >= f64::from(compared) * 0.6, "{same} of {compared}");
 }
 
 #[test]
-fn the_order_of_an_object_has_every_upstream_once() {
+fn an_object_s_order_contains_every_upstream_once() {
     let now = Instant::now();
     let (service, region) = (id::Service::new("desk"), id::Region::new("north"));
     for size in [0, 1, 8, 31, 32, 33, 500] {
@@ -199,11 +203,14 @@
             index.prepare_order(&service, &region, key);
             let names = |u: &upstream::Upstream| u.entry.id.clone();
             let mut order: Vec<_> = index.preferred(&service, &region, key).map(names).collect();
-            let by_rank = |id: &id::Upstream| cmp::Reverse(affinity::upstream_score(key, id));
-            assert!(order.iter().take(32).is_sorted_by_key(by_rank), "first ones by rank");
+            let by_score = |id: &id::Upstream| cmp::Reverse(affinity::upstream_score(key, id));
+            assert!(
+                order.iter().take(32).is_sorted_by_key(by_score),
+                "the first upstreams are ordered by score"
+            );
             order.sort();
             order.dedup();
-            assert_eq!(order.len(), size, "each one once");
+            assert_eq!(order.len(), size, "every upstream occurs once");
         }
     }
 }
