--- a/crates/steer/src/dispatch/affinity.rs
+++ b/crates/steer/src/dispatch/affinity.rs
@@ -70,8 +70,8 @@
 /// the first one's.
 #[must_use]
 pub fn seen_cost(work: expected_work::Work) -> f64 {
-    let first = work.of(seen_objects::Sight::Seen).0.max(f64::EPSILON);
-    let elsewhere = work.of(seen_objects::Sight::SeenElsewhere).0;
+    let first = work.of(seen_objects::Familiarity::Seen).0.max(f64::EPSILON);
+    let elsewhere = work.of(seen_objects::Familiarity::SeenElsewhere).0;
     SEEN_COST_FACTOR * (elsewhere / first).max(1.0)
 }
 
--- a/crates/steer/src/dispatch/dispatcher/tries.rs
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -67,10 +67,11 @@
         match outcome {
             outcome::Outcome::Answered { latency, crowding, object, load } => {
                 let time = seconds::Seconds(latency.as_secs_f64() / crowding.max(1.0));
-                let sight = object.map_or(seen_objects::Sight::Preferred, |object| object.sight);
-                upstream.health.answered(time, work.of(sight), in_flight, now);
+                let familiarity = object
+                    .map_or(seen_objects::Familiarity::Preferred, |object| object.familiarity);
+                upstream.health.answered(time, work.of(familiarity), in_flight, now);
                 let distance = self.distances.entry(upstream.entry.service.clone()).or_default();
-                record_time(work, distance, &upstream.region, sight, time);
+                record_time(work, distance, &upstream.region, familiarity, time);
                 if let Some(object) = object {
                     upstream.objects.record(object.key);
                 }
@@ -109,16 +110,16 @@
     }
 }
 
-/// Records the processing time of a request, without queueing, for the given `sight`.
+/// Records the processing time of a request, without queueing, for the given `familiarity`.
 fn record_time(
     work: &mut expected_work::Work,
     distance: &mut distance::Distance,
     region: &id::Region,
-    sight: seen_objects::Sight,
+    familiarity: seen_objects::Familiarity,
     time: seconds::Seconds,
 ) {
-    work.record(time, sight);
-    if sight <= seen_objects::Sight::Preferred {
+    work.record(time, familiarity);
+    if familiarity <= seen_objects::Familiarity::Preferred {
         distance.record_response(region, time);
     }
 }
--- a/crates/steer/src/dispatch/expected_work.rs
+++ b/crates/steer/src/dispatch/expected_work.rs
@@ -1,13 +1,13 @@
 //! Expected work: how long upstreams of a service work on a request, without waiting.
 //!
 //! Owns the estimates of one service: mean and mean deviation, exponentially weighted, over all answers and for
-//! each [`Sight`]. Relies on answers, whose time is divided by the crowding at the send.
+//! each [`Familiarity`]. Relies on answers, whose time is divided by the crowding at the send.
 //! [`work_time`] refines it for one upstream.
 //!
 //! [`work_time`]: crate::dispatch::work_time
 
 use crate::dispatch::seconds;
-use crate::dispatch::seen_objects::Sight;
+use crate::dispatch::seen_objects::Familiarity;
 
 /// Weight of one answer in the estimates. Not measured; fifty answers make up most of an estimate.
 const ANSWER_WEIGHT: f64 = 0.02;
@@ -21,11 +21,11 @@
 /// expected time, loads guessed"; other numbers of deviations were not measured.
 const CAUTION: f64 = 1.0;
 
-/// Work for each sight, as a multiple of the service's mean, until answers show it. Not measured; those of
+/// Work for each familiarity, as a multiple of the service's mean, until answers show it. Not measured; those of
 /// `affinity::cost`.
 const INITIAL_RATIOS: [f64; 5] = [1.0, 1.0, 1.0, 2.5, 5.0];
 
-/// Answers for which the initial ratio of a sight counts. Not measured.
+/// Answers for which the initial ratio of a familiarity counts. Not measured.
 const INITIAL_ANSWERS: f64 = 4.0;
 
 /// Mean and mean deviation of the time of work.
@@ -33,10 +33,10 @@
 pub struct Work {
     mean: f64,
     deviation: f64,
-    by_sight: [Mean; INITIAL_RATIOS.len()],
+    by_familiarity: [Mean; INITIAL_RATIOS.len()],
 }
 
-/// Mean of the time of work for one sight.
+/// Mean of the time of work for one familiarity.
 #[derive(Clone, Copy, Debug, Default)]
 struct Mean {
     mean: f64,
@@ -48,19 +48,19 @@
         Self {
             mean: INITIAL_MEAN,
             deviation: INITIAL_MEAN / 2.0,
-            by_sight: [Mean::default(); INITIAL_RATIOS.len()],
+            by_familiarity: [Mean::default(); INITIAL_RATIOS.len()],
         }
     }
 }
 
 impl Work {
     /// Records one request's time of work.
-    pub fn record(&mut self, work: seconds::Seconds, sight: Sight) {
+    pub fn record(&mut self, work: seconds::Seconds, familiarity: Familiarity) {
         let error = work.0 - self.mean;
         self.mean += error * ANSWER_WEIGHT;
         self.deviation += (error.abs() - self.deviation) * ANSWER_WEIGHT;
-        let before = self.of(sight).0;
-        let mean = &mut self.by_sight[sight as usize];
+        let before = self.of(familiarity).0;
+        let mean = &mut self.by_familiarity[familiarity as usize];
         mean.answers += 1.0;
         let weight = (1.0 / (INITIAL_ANSWERS + mean.answers)).max(ANSWER_WEIGHT);
         mean.mean = before + (work.0 - before) * weight;
@@ -72,13 +72,13 @@
         seconds::Seconds(self.mean)
     }
 
-    /// Returns the mean for requests of one sight.
+    /// Returns the mean for requests of one familiarity.
     #[must_use]
-    pub fn of(&self, sight: Sight) -> seconds::Seconds {
-        let mean = &self.by_sight[sight as usize];
+    pub fn of(&self, familiarity: Familiarity) -> seconds::Seconds {
+        let mean = &self.by_familiarity[familiarity as usize];
         match mean.answers > 0.0 {
             true => seconds::Seconds(mean.mean),
-            false => seconds::Seconds(self.mean * INITIAL_RATIOS[sight as usize]),
+            false => seconds::Seconds(self.mean * INITIAL_RATIOS[familiarity as usize]),
         }
     }
 
--- a/crates/steer/src/dispatch/seen_objects.rs
+++ b/crates/steer/src/dispatch/seen_objects.rs
@@ -18,7 +18,7 @@
 
 /// Whether an upstream probably has an object cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Sight {
+pub enum Familiarity {
     /// The upstream is the object's first choice and has answered this node's requests for it.
     Seen,
     /// The upstream is the object's first choice but has not answered this node's requests for it.
@@ -37,10 +37,10 @@
     /// Hash of the object.
     pub key: u64,
     /// Whether the upstream probably has the object cached.
-    pub sight: Sight,
+    pub familiarity: Familiarity,
 }
 
-impl Sight {
+impl Familiarity {
     /// Returns the case of an upstream at `rank` in the object's order of preference; 0 is the first.
     #[must_use]
     pub fn of(has_seen: bool, rank: usize) -> Self {
--- a/crates/steer/src/dispatch/selection.rs
+++ b/crates/steer/src/dispatch/selection.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 struct ScoredUpstream {
     entry: sync::Arc<discovery::Entry>,
-    sight: seen_objects::Sight,
+    familiarity: seen_objects::Familiarity,
     wait: seconds::Seconds,
     cost: f64,
     load_age: Duration,
@@ -87,11 +87,13 @@
         };
         Some(candidate::Candidate {
             entry: sync::Arc::clone(&chosen.entry),
-            object: self.object.map(|key| seen_objects::Object { key, sight: chosen.sight }),
+            object: self
+                .object
+                .map(|key| seen_objects::Object { key, familiarity: chosen.familiarity }),
             wait: chosen.wait,
             max_wait: self.max_wait,
             work: self.work.mean(),
-            mean_latency: seconds::Seconds(chosen.wait.0 + self.work.of(chosen.sight).0),
+            mean_latency: seconds::Seconds(chosen.wait.0 + self.work.of(chosen.familiarity).0),
             cautious_latency: seconds::Seconds(chosen.wait.0 + self.work.cautious().0),
             load_age: chosen.load_age,
             avoided: None,
@@ -121,20 +123,20 @@
     work: expected_work::Work,
     now: Instant,
 ) -> ScoredUpstream {
-    let sight = match request.route.is_sticky {
-        true => seen_objects::Sight::of(upstream.objects.contains(request.key), position),
-        false => seen_objects::Sight::Preferred,
+    let familiarity = match request.route.is_sticky {
+        true => seen_objects::Familiarity::of(upstream.objects.contains(request.key), position),
+        false => seen_objects::Familiarity::Preferred,
     };
     let affinity_factor = affinity::cost(request.route.is_sticky, position);
-    let object_factor = match sight {
-        seen_objects::Sight::SeenElsewhere => affinity_factor.min(affinity::seen_cost(work)),
+    let object_factor = match familiarity {
+        seen_objects::Familiarity::SeenElsewhere => affinity_factor.min(affinity::seen_cost(work)),
         _ => affinity_factor,
     };
     let failure_factor = 1.0 + upstream.health.failure_rate(now) * FAILURE_COST_FACTOR;
     let time = upstream.health.work(work.mean(), now).0 * upstream.crowding(now);
     ScoredUpstream {
         entry: sync::Arc::clone(&upstream.entry),
-        sight,
+        familiarity,
         wait: upstream.wait(work.mean(), now),
         cost: time * object_factor * failure_factor,
         load_age: upstream.load.age(now),
--- a/crates/steer/tests/selection.rs
+++ b/crates/steer/tests/selection.rs
@@ -55,13 +55,13 @@
         now: Instant,
     ) -> Option<(&'a upstream::Upstream, f64)> {
         let score = |(rank, u): (usize, &&'a upstream::Upstream)| {
-            let sight = match request.route.is_sticky {
-                true => seen_objects::Sight::of(u.objects.contains(request.key), rank),
-                false => seen_objects::Sight::Preferred,
+            let familiarity = match request.route.is_sticky {
+                true => seen_objects::Familiarity::of(u.objects.contains(request.key), rank),
+                false => seen_objects::Familiarity::Preferred,
             };
             let affinity_factor = affinity::cost(request.route.is_sticky, rank);
-            let object_factor = match sight {
-                seen_objects::Sight::SeenElsewhere => {
+            let object_factor = match familiarity {
+                seen_objects::Familiarity::SeenElsewhere => {
                     affinity_factor.min(affinity::seen_cost(work))
                 }
                 _ => affinity_factor,
