--- a/crates/steer/src/dispatch/admission.rs
+++ b/crates/steer/src/dispatch/admission.rs
@@ -69,15 +69,15 @@
     let target = request.route.target_latency.as_secs_f64();
     let fraction = match rank {
         priority::Rank::MostUrgent => MAX_URGENT_WAIT_FRACTION,
-        priority::Rank::Alone | priority::Rank::Behind { .. } => MAX_WAIT_FRACTION,
+        priority::Rank::Uncontested | priority::Rank::LessUrgent { .. } => MAX_WAIT_FRACTION,
     };
     let limit = match work.0 <= target {
         true => target * fraction,
         false => f64::INFINITY,
     };
     match rank {
-        priority::Rank::Behind { max_wait } => seconds::Seconds(limit.min(max_wait.0)),
-        priority::Rank::Alone | priority::Rank::MostUrgent => seconds::Seconds(limit),
+        priority::Rank::LessUrgent { max_wait } => seconds::Seconds(limit.min(max_wait.0)),
+        priority::Rank::Uncontested | priority::Rank::MostUrgent => seconds::Seconds(limit),
     }
 }
 
--- a/crates/steer/src/dispatch/priority.rs
+++ b/crates/steer/src/dispatch/priority.rs
@@ -53,12 +53,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rank {
     /// No other urgency level competes for the service.
-    Alone,
+    Uncontested,
     /// Only less urgent requests compete for the service, or requests of its own urgency are starved
     /// and temporarily treated as urgent.
     MostUrgent,
     /// More urgent requests compete for the service.
-    Behind {
+    LessUrgent {
         /// Maximum queueing time that leaves capacity for them.
         max_wait: seconds::Seconds,
     },
@@ -120,12 +120,14 @@
     /// Returns the urgency of a request relative to the other requests of its service.
     #[must_use]
     pub fn rank(&self, request: &request::Request<'_>) -> Rank {
-        let Some(service) = self.services.get(request.service) else { return Rank::Alone };
+        let Some(service) = self.services.get(request.service) else { return Rank::Uncontested };
         match service.urgent_target(request.urgency) {
             Some(_) if service.is_starved(request.urgency) => Rank::MostUrgent,
-            Some(target) => Rank::Behind { max_wait: seconds::Seconds(target * MAX_WAIT_FRACTION) },
+            Some(target) => {
+                Rank::LessUrgent { max_wait: seconds::Seconds(target * MAX_WAIT_FRACTION) }
+            }
             None if service.precedes_others(request.urgency) => Rank::MostUrgent,
-            None => Rank::Alone,
+            None => Rank::Uncontested,
         }
     }
 }
--- a/crates/steer/src/dispatch/upstream_limit/demand.rs
+++ b/crates/steer/src/dispatch/upstream_limit/demand.rs
@@ -41,9 +41,9 @@
     pub fn part(&self, part: f64, rank: priority::Rank, now: Instant) -> f64 {
         let urgent = self.urgent.get(now) / self.all.get(now).max(LEAST_SHARE);
         match rank {
-            priority::Rank::Alone => part,
+            priority::Rank::Uncontested => part,
             priority::Rank::MostUrgent => part / urgent.max(LEAST_SHARE),
-            priority::Rank::Behind { .. } => (part - urgent) / (1.0 - urgent).max(LEAST_SHARE),
+            priority::Rank::LessUrgent { .. } => (part - urgent) / (1.0 - urgent).max(LEAST_SHARE),
         }
     }
 }
--- a/crates/steer/tests/organisations.rs
+++ b/crates/steer/tests/organisations.rs
@@ -110,13 +110,13 @@
         desk.record(true, true);
         desk.record(false, true);
     }
-    assert_eq!(desk.rank(&desk.patient), priority::Rank::Alone);
-    assert_eq!(desk.rank(&desk.urgent), priority::Rank::Alone);
+    assert_eq!(desk.rank(&desk.patient), priority::Rank::Uncontested);
+    assert_eq!(desk.rank(&desk.urgent), priority::Rank::Uncontested);
     for turn in 0..200 {
         desk.record(true, turn % 4 != 0);
         desk.record(false, true);
     }
-    assert!(matches!(desk.rank(&desk.patient), priority::Rank::Behind { .. }));
+    assert!(matches!(desk.rank(&desk.patient), priority::Rank::LessUrgent { .. }));
     assert_eq!(desk.rank(&desk.urgent), priority::Rank::MostUrgent);
 }
 
--- a/crates/steer/tests/selection.rs
+++ b/crates/steer/tests/selection.rs
@@ -168,7 +168,7 @@
         };
         let work = expected_work::Work::default();
         let preferred = index.preferred(&service, &region, key).filter(is_eligible);
-        let chosen = selection::best(preferred, &request, work, priority::Rank::Alone, now);
+        let chosen = selection::best(preferred, &request, work, priority::Rank::Uncontested, now);
 
         let eligible: Vec<_> = index.iter().filter(is_eligible).collect();
         let ranked = oracle::ranked(&eligible, key, work.mean(), now);
--- a/crates/steer/tests/upstream_limit/fleet.rs
+++ b/crates/steer/tests/upstream_limit/fleet.rs
@@ -277,7 +277,7 @@
         }
         let now = self.start + time;
         self.nodes[node].count(now);
-        if self.nodes[node].admit(KEY, Rank::Alone, now).is_ok() {
+        if self.nodes[node].admit(KEY, Rank::Uncontested, now).is_ok() {
             self.played.sent.push(Sent { node, at: time });
             self.answers.push((time + WORK, node));
         }
