--- a/crates/steer/tests/upstream_limit/simulation.rs
+++ b/crates/steer/tests/upstream_limit/simulation.rs
@@ -289,7 +289,7 @@
         }
         let now = self.start + time;
         self.nodes[node].count(now);
-        if self.nodes[node].admit(KEY, Rank::Alone, now).is_ok() {
+        if self.nodes[node].admit(KEY, Rank::Uncontested, now).is_ok() {
             self.outcome.sent.push(Sent { node, at: time });
             self.responses.push((time + RESPONSE_TIME, node));
         }
