--- a/crates/steer/src/dispatch/ejection.rs
+++ b/crates/steer/src/dispatch/ejection.rs
@@ -1,38 +1,40 @@
-//! Ejection: an upstream that cannot be reached gets no requests for a time that doubles.
+//! Outlier ejection: an unreachable upstream receives no requests for an exponentially growing
+//! time.
 //!
-//! Owns the ejection of one upstream. Nothing is probed: the first request after it is the test. Relies on
-//! [`health`] to report what was reached; [`selection`] uses ejected upstreams only when all are.
+//! There are no active health checks: the first request after an ejection tests the upstream.
+//! [`health`] reports failures and responses; [`selection`] uses ejected upstreams only when all of
+//! them are ejected.
 //!
 //! [`health`]: crate::dispatch::health
 //! [`selection`]: crate::dispatch::selection
 
 use std::time::{Duration, Instant};
 
-/// Length of the first ejection. Not measured.
-const FIRST: Duration = Duration::from_millis(500);
+/// Duration of the first ejection.
+const INITIAL_DURATION: Duration = Duration::from_millis(500);
 
-/// Length of the longest ejection. Not measured.
-const LONGEST: Duration = Duration::from_secs(4);
+/// Upper limit of the duration.
+const MAX_DURATION: Duration = Duration::from_secs(4);
 
-/// Ejection of one upstream.
+/// Ejection state of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ejection {
-    length: Duration,
+    duration: Duration,
     until: Option<Instant>,
 }
 
 impl Ejection {
-    /// Ejects from `now` on, for twice as long as the time before.
+    /// Ejects the upstream from `now` on, for twice the previous duration.
     pub fn eject(&mut self, now: Instant) {
-        self.length = match self.length {
-            Duration::ZERO => FIRST,
-            before => (before * 2).min(LONGEST),
+        self.duration = match self.duration {
+            Duration::ZERO => INITIAL_DURATION,
+            previous => (previous * 2).min(MAX_DURATION),
         };
-        self.until = Some(now + self.length);
+        self.until = Some(now + self.duration);
     }
 
-    /// Ends it, since the upstream answered; the next one is a first one again.
-    pub fn end(&mut self) {
+    /// Ends the ejection after a response and resets the duration.
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
--- a/crates/steer/src/dispatch/execution.rs
+++ b/crates/steer/src/dispatch/execution.rs
@@ -1,55 +1,55 @@
-//! Execution: whether an upstream ran a request, by the head of its answer.
+//! Determines from a response head whether an upstream executed the request.
 //!
-//! Owns what proves that a request has not run, on which every retry and every promise to a caller
-//! rests. Relies on [`head::Answer`], which each set of header names is decoded into. Called by the
-//! gateway's proxy for each answer, before anything of it is passed on.
+//! Retries and the statements made to callers depend on this. The gateway's proxy calls it for
+//! every response before it forwards any part of it. [`head::Answer`] is the decoded form of each
+//! supported set of header names.
 
 use model::head;
 
-/// Statuses of a success.
+/// Success statuses.
 const SUCCESS: std::ops::Range<u16> = 200..300;
 
-/// Status by which an upstream says that another one was meant (RFC 9110, section 15.5.20).
+/// 421 Misdirected Request (RFC 9110, section 15.5.20): the request was meant for another upstream.
 const MISDIRECTED: u16 = 421;
 
-/// Statuses that promise a caller that its request has not run: 408, 429 and 503.
+/// Statuses that usually mean that the request was not executed.
 ///
-/// Upstreams also send them without knowing, so one proves nothing without a statement beside it.
-const PROMISES: [u16; 3] = [408, 429, 503];
+/// Upstreams also send them without knowing, so the status alone is no proof.
+const USUALLY_NOT_RUN: [u16; 3] = [408, 429, 503];
 
-/// Whether an upstream ran a request.
+/// Whether an upstream executed a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// It ran it, or may have: the answer is the caller's.
+    /// Executed, or possibly executed; the response is forwarded to the caller.
     Ran,
-    /// It did not run it.
+    /// Not executed.
     NotRun,
-    /// It did not run it, because another upstream was meant.
+    /// Not executed, because the request was meant for another upstream.
     Replaced,
-    /// It refuses it without proof that it did not run it.
+    /// Refused, without proof that it was not executed.
     Unproved,
 }
 
-/// What a genuine answer has to show; it depends on who wrote the upstreams.
+/// What a valid response must contain; depends on the protocol that the upstreams implement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requirements {
-    /// Whether it must name the request that it answers.
+    /// Whether the response must repeat the request ID.
     pub request_id: bool,
-    /// Whether a success must carry the upstream's seal.
+    /// Whether a success must carry the upstream's response seal.
     pub seal: bool,
 }
 
-/// Why an answer is not one to the request that was sent.
+/// Why a response is invalid for the request that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It names another request, or none where it must.
+    /// It carries the ID of another request, or no ID although one is required.
     OtherRequest,
-    /// It is a success without the seal that it must carry.
+    /// It is a success without the required seal.
     NoSeal,
 }
 
 impl Fault {
-    /// Returns the fault as a phrase for logs.
+    /// Returns the text for log lines.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -59,36 +59,36 @@
     }
 }
 
-/// Returns whether the upstream ran the request, given an answer without a [`Fault`].
+/// Returns whether the upstream executed the request, given a response without a [`Fault`].
 ///
-/// A success has run whatever else the answer states.
+/// A success counts as executed even if the response states the contrary.
 #[must_use]
 pub fn execution(answer: &head::Answer<'_>) -> Execution {
     match answer.status {
         MISDIRECTED => Execution::Replaced,
         status if SUCCESS.contains(&status) => Execution::Ran,
         _ if answer.states_not_run => Execution::NotRun,
-        status if PROMISES.contains(&status) => Execution::Unproved,
+        status if USUALLY_NOT_RUN.contains(&status) => Execution::Unproved,
         _ => Execution::Ran,
     }
 }
 
-/// Returns why `answer` is not one to request `request_id`; none when it is.
+/// Returns why `answer` is invalid for request `request_id`, or `None` if it is valid.
 ///
-/// Such an answer says nothing about the request, which may have run.
+/// An invalid response does not show whether the request was executed.
 #[must_use]
 pub fn fault(
     answer: &head::Answer<'_>,
     requirements: Requirements,
     request_id: &str,
 ) -> Option<Fault> {
-    let names_request = match answer.request_id {
-        Some(named) => named == request_id,
+    let matches_request = match answer.request_id {
+        Some(returned_id) => returned_id == request_id,
         None => !requirements.request_id || request_id.is_empty(),
     };
     let has_seal = answer.is_sealed || !requirements.seal;
     match SUCCESS.contains(&answer.status) {
-        _ if !names_request => Some(Fault::OtherRequest),
+        _ if !matches_request => Some(Fault::OtherRequest),
         true if !has_seal => Some(Fault::NoSeal),
         _ => None,
     }
--- a/crates/steer/src/dispatch/expected_work.rs
+++ b/crates/steer/src/dispatch/expected_work.rs
@@ -1,34 +1,35 @@
-//! Expected work: how long upstreams of a service work on a request, without waiting.
+//! Expected processing time of a service's requests, without queueing.
 //!
-//! Owns the estimates of one service: mean and mean deviation, exponentially weighted, over all answers and for
-//! each [`Sight`]. Relies on answers, whose time is divided by the crowding at the send.
-//! [`work_time`] refines it for one upstream.
+//! Keeps exponentially weighted means and the mean deviation, over all responses and per [`Sight`].
+//! The caller divides the measured latency by the crowding at the time of sending. [`work_time`]
+//! refines the estimate for one upstream.
 //!
 //! [`work_time`]: crate::dispatch::work_time
 
 use crate::dispatch::seconds;
 use crate::dispatch::seen_objects::Sight;
 
-/// Weight of one answer in the estimates. Not measured; fifty answers make up most of an estimate.
-const ANSWER_WEIGHT: f64 = 0.02;
+/// Weight of one response in the estimates; fifty responses make up most of an estimate.
+const RESPONSE_WEIGHT: f64 = 0.02;
 
-/// Mean that is assumed until a service has answered, in seconds. Not measured.
-const INITIAL_MEAN: f64 = 0.25;
+/// Mean assumed before the first response, in seconds.
+const INITIAL_MEAN_SECONDS: f64 = 0.25;
 
-/// Mean deviations above the mean that the cautious estimate takes.
+/// Number of mean deviations that the conservative estimate adds to the mean.
 ///
-/// Measured with the other inputs of admission: docs/measurements/platform.md, row "early refusal by
-/// expected time, loads guessed"; other numbers of deviations were not measured.
-const CAUTION: f64 = 1.0;
+/// Results with this value: docs/measurements/platform.md, row "early refusal by expected time,
+/// loads guessed".
+const CONSERVATIVE_DEVIATIONS: f64 = 1.0;
 
-/// Work for each sight, as a multiple of the service's mean, until answers show it. Not measured; those of
-/// `affinity::cost`.
+/// Processing time per sight before the first response, as a multiple of the service's mean.
+///
+/// The same ratios as in `affinity::cost`.
 const INITIAL_RATIOS: [f64; 5] = [1.0, 1.0, 1.0, 2.5, 5.0];
 
-/// Answers for which the initial ratio of a sight counts. Not measured.
-const INITIAL_ANSWERS: f64 = 4.0;
+/// Weight of a sight's initial ratio, in responses.
+const INITIAL_RESPONSES: f64 = 4.0;
 
-/// Mean and mean deviation of the time of work.
+/// Mean and mean deviation of the processing time.
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
     mean: f64,
@@ -36,37 +37,37 @@
     by_sight: [Mean; INITIAL_RATIOS.len()],
 }
 
-/// Mean of the time of work for one sight.
+/// Mean processing time for one sight.
 #[derive(Clone, Copy, Debug, Default)]
 struct Mean {
     mean: f64,
-    answers: f64,
+    responses: f64,
 }
 
 impl Default for Work {
     fn default() -> Self {
         Self {
-            mean: INITIAL_MEAN,
-            deviation: INITIAL_MEAN / 2.0,
+            mean: INITIAL_MEAN_SECONDS,
+            deviation: INITIAL_MEAN_SECONDS / 2.0,
             by_sight: [Mean::default(); INITIAL_RATIOS.len()],
         }
     }
 }
 
 impl Work {
-    /// Records one request's time of work.
+    /// Records the processing time of one request.
     pub fn record(&mut self, work: seconds::Seconds, sight: Sight) {
         let error = work.0 - self.mean;
-        self.mean += error * ANSWER_WEIGHT;
-        self.deviation += (error.abs() - self.deviation) * ANSWER_WEIGHT;
-        let before = self.of(sight).0;
+        self.mean += error * RESPONSE_WEIGHT;
+        self.deviation += (error.abs() - self.deviation) * RESPONSE_WEIGHT;
+        let previous = self.of(sight).0;
         let mean = &mut self.by_sight[sight as usize];
-        mean.answers += 1.0;
-        let weight = (1.0 / (INITIAL_ANSWERS + mean.answers)).max(ANSWER_WEIGHT);
-        mean.mean = before + (work.0 - before) * weight;
+        mean.responses += 1.0;
+        let weight = (1.0 / (INITIAL_RESPONSES + mean.responses)).max(RESPONSE_WEIGHT);
+        mean.mean = previous + (work.0 - previous) * weight;
     }
 
-    /// Returns the mean.
+    /// Returns the mean over all requests.
     #[must_use]
     pub fn mean(&self) -> seconds::Seconds {
         seconds::Seconds(self.mean)
@@ -76,15 +77,15 @@
     #[must_use]
     pub fn of(&self, sight: Sight) -> seconds::Seconds {
         let mean = &self.by_sight[sight as usize];
-        match mean.answers > 0.0 {
+        match mean.responses > 0.0 {
             true => seconds::Seconds(mean.mean),
             false => seconds::Seconds(self.mean * INITIAL_RATIOS[sight as usize]),
         }
     }
 
-    /// Returns a time that most requests stay below.
+    /// Returns a conservative estimate, which most requests do not exceed.
     #[must_use]
     pub fn cautious(&self) -> seconds::Seconds {
-        seconds::Seconds(self.mean + self.deviation * CAUTION)
+        seconds::Seconds(self.mean + self.deviation * CONSERVATIVE_DEVIATIONS)
     }
 }
--- a/crates/steer/src/dispatch/failure_rate.rs
+++ b/crates/steer/src/dispatch/failure_rate.rs
@@ -1,22 +1,22 @@
-//! Failure rate: the share of an upstream's tries that break, weighted to the latest.
+//! Failure rate: exponentially weighted share of an upstream's attempts that failed.
 //!
-//! Owns the rate of one upstream. Raises the upstream's cost in [`selection`], so that an object leaves
-//! one that keeps failing; fades with time, so that the upstream is tried again.
+//! The rate raises the upstream's cost in [`selection`], so that an object moves away from an
+//! upstream that keeps failing. It decays over time, so that the upstream is tried again.
 //!
 //! [`selection`]: crate::dispatch::selection
 
 use std::time::{Duration, Instant};
 
-/// Weight of one try in the rate. Not measured.
-const TRY_WEIGHT: f64 = 0.15;
+/// Weight of one attempt in the rate.
+const ATTEMPT_WEIGHT: f64 = 0.15;
 
-/// Time in which the rate loses most of its weight.
+/// Time constant of the exponential decay.
 ///
-/// Measured: docs/measurements/platform.md, row "failures and silence fade" (taf 0.968 to 0.989, together
-/// with the end of silence); other times were not measured.
-const MEMORY: Duration = Duration::from_secs(5);
+/// Together with the end of silence, the decay raised taf from 0.968 to 0.989:
+/// docs/measurements/platform.md, row "failures and silence fade".
+const DECAY_TIME: Duration = Duration::from_secs(5);
 
-/// Share of tries that broke, from 0 to 1.
+/// Weighted share of failed attempts, from 0 to 1.
 #[derive(Clone, Copy, Debug)]
 pub struct FailureRate {
     rate: f64,
@@ -30,23 +30,23 @@
         Self { rate: 0.0, updated: now }
     }
 
-    /// Records a try that was answered.
+    /// Records an attempt with a valid response.
     pub fn record_success(&mut self, now: Instant) {
-        self.rate = self.get(now) * (1.0 - TRY_WEIGHT);
+        self.rate = self.get(now) * (1.0 - ATTEMPT_WEIGHT);
         self.updated = now;
     }
 
-    /// Records a try whose answer or connection broke.
+    /// Records an attempt whose connection failed or whose response was invalid.
     pub fn record_failure(&mut self, now: Instant) {
-        let before = self.get(now);
-        self.rate = before + (1.0 - before) * TRY_WEIGHT;
+        let previous = self.get(now);
+        self.rate = previous + (1.0 - previous) * ATTEMPT_WEIGHT;
         self.updated = now;
     }
 
-    /// Returns the rate at `now`.
+    /// Returns the decayed rate at `now`.
     #[must_use]
     pub fn get(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.updated).as_secs_f64();
-        self.rate * (-age / MEMORY.as_secs_f64()).exp()
+        self.rate * (-age / DECAY_TIME.as_secs_f64()).exp()
     }
 }
--- a/crates/steer/src/dispatch/give_up.rs
+++ b/crates/steer/src/dispatch/give_up.rs
@@ -1,66 +1,66 @@
-//! Giving up: why a request gets no answer of an upstream, and its `Retry-After`.
+//! Reasons why a request fails without a response from an upstream, and their `Retry-After` times.
 //!
-//! Owns the reasons and the default times, and when an answer that stalls is cut off. Relies on nothing; [`retry`] decides when one applies, and
-//! the gateway maps each to a status.
+//! Also defines when a stalled response is cut off. [`retry`] decides when a reason applies, and
+//! the gateway maps each reason to a status.
 //!
 //! [`retry`]: crate::dispatch::retry
 
 use std::time::{Duration, Instant};
 
-/// `Retry-After` when upstreams refused or none could be reached or chosen.
+/// `Retry-After` when upstreams refused the request, were unreachable or could not be selected.
 ///
-/// Short, since a refusal does not say how long its cause lasts.
-const RETRY_AFTER_REFUSALS: Duration = Duration::from_millis(60);
+/// Short, because a refusal does not say how long its cause lasts.
+const RETRY_AFTER_REFUSAL: Duration = Duration::from_millis(60);
 
 /// `Retry-After` when nothing is known about when a retry would succeed.
 ///
-/// Longer than `RETRY_AFTER_REFUSALS`, since no upstream has refused yet.
+/// Longer than `RETRY_AFTER_REFUSAL`, because no upstream has refused the request yet.
 pub const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(200);
 
-/// Silence within an answer that is being passed on, after which it is cut off.
+/// Idle time within a response body after which the response is cut off.
 ///
-/// Above the pauses that lost packets cause. An answer that goes on arriving may take longer than its
-/// request's deadline, since its caller reads it meanwhile.
-const STALL: Duration = Duration::from_secs(3);
+/// Longer than the pauses that packet loss causes. A response that keeps arriving may take longer
+/// than its request's deadline, because the caller is already reading it.
+const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Returns when an answer is cut off of which nothing more arrives from `now` on.
+/// Returns when a response is cut off if nothing more arrives after `now`.
 #[must_use]
 pub fn stalled_at(deadline: Instant, now: Instant) -> Instant {
-    deadline.max(now + STALL)
+    deadline.max(now + STALL_TIMEOUT)
 }
 
-/// Why a request is given up.
+/// Why a request fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// All parts of its route have weight zero.
+    /// All services of its route have weight zero.
     NoService,
-    /// No region may serve it: its route and its organisation have none in common.
+    /// Its route and its organisation have no home region in common.
     NoHome,
-    /// Its organisation's key was taken away while it waited for another try.
+    /// Its organisation's key was revoked while it waited for another attempt.
     Revoked,
-    /// Its organisation has sent as many requests as it may.
+    /// Its organisation has used up its quota.
     OverQuota {
-        /// Time after which there is room.
+        /// Time after which the quota allows another request.
         retry_after: Duration,
     },
-    /// Upstreams crash under it.
+    /// It is quarantined because it crashes upstreams.
     Quarantined {
-        /// Time after which it may be tried again.
+        /// Time after which it may be sent again.
         retry_after: Duration,
     },
-    /// The upstreams that would take it get as many requests as they say that they take.
+    /// All otherwise eligible upstreams have reached their announced limits.
     Limited {
-        /// Time after which one of them has room.
+        /// Time after which one of them accepts another request.
         retry_after: Duration,
     },
-    /// The upstreams that would take it want no requests for now.
+    /// All otherwise eligible upstreams have asked for a rest period.
     Resting {
-        /// Time after which one of them has rested.
+        /// Time after which the first rest period ends.
         retry_after: Duration,
     },
-    /// No upstream of the service may take it.
+    /// No upstream of the service is eligible.
     NoUpstream,
-    /// Every upstream would answer it too late.
+    /// No upstream is expected to respond before the deadline.
     Overloaded {
         /// Time after which a retry may be admitted.
         retry_after: Duration,
@@ -69,7 +69,7 @@
     Unreachable,
     /// The last upstream refused it, and no retry is allowed.
     TurnedAway,
-    /// An upstream may have run it, and it may not be repeated.
+    /// An upstream may have executed it, and it must not be repeated.
     MayHaveRun,
     /// It was sent, and its deadline passed.
     TimedOut,
@@ -78,7 +78,7 @@
 }
 
 impl Reason {
-    /// Returns the reason as the log key `reason` holds it.
+    /// Returns the value of the log key `reason`.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -99,18 +99,18 @@
         }
     }
 
-    /// Returns whether the request certainly has not run.
+    /// Returns whether the request was certainly not executed.
     #[must_use]
     pub fn is_proved_not_run(self) -> bool {
         !matches!(self, Self::MayHaveRun | Self::TimedOut)
     }
 
-    /// Returns the time after which the caller may retry; none when that is not safe.
+    /// Returns the time after which the caller may retry, or `None` if a retry is not safe.
     #[must_use]
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Self::NoService | Self::NoHome | Self::NotSent => Some(RETRY_AFTER_DEFAULT),
-            Self::NoUpstream | Self::Unreachable | Self::TurnedAway => Some(RETRY_AFTER_REFUSALS),
+            Self::NoUpstream | Self::Unreachable | Self::TurnedAway => Some(RETRY_AFTER_REFUSAL),
             Self::Overloaded { retry_after }
             | Self::Limited { retry_after }
             | Self::Resting { retry_after }
--- a/crates/steer/src/dispatch/health.rs
+++ b/crates/steer/src/dispatch/health.rs
@@ -1,7 +1,9 @@
-//! Health of one upstream, from how its tries end; nothing is probed.
+//! Passive health checks of one upstream, from the results of its attempts; there are no active
+//! probes.
 //!
-//! Owns the four signs of one upstream: [`ejection`], [`failure_rate`], [`silence`] and [`work_time`], and
-//! which of them each end of a try changes. `service` is the mean work time of the upstream's service.
+//! Combines [`ejection`], [`failure_rate`], [`silence`] and [`work_time`], and defines which of
+//! them each kind of result changes. `service` is the mean processing time of the upstream's
+//! service.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +13,7 @@
 use crate::dispatch::silence;
 use crate::dispatch::work_time;
 
-/// Health of one upstream.
+/// Health state of one upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
     ejection: ejection::Ejection,
@@ -21,7 +23,7 @@
 }
 
 impl Health {
-    /// Starts healthy.
+    /// Creates a healthy state.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -32,13 +34,15 @@
         }
     }
 
-    /// Records a send; `in_flight` excludes it.
+    /// Records that a request is sent; `in_flight` excludes it.
     pub fn sent(&mut self, in_flight: u32, now: Instant) {
         self.silence.sent(in_flight, now);
     }
 
-    /// Records an answer after `work` without waiting, where its service needs `expected`; `in_flight` excludes
-    /// its request.
+    /// Records a response.
+    ///
+    /// `work` is the processing time without queueing and `expected` the usual one for the service;
+    /// `in_flight` excludes the request.
     pub fn answered(
         &mut self,
         work: seconds::Seconds,
@@ -51,18 +55,19 @@
         self.refused(in_flight, now);
     }
 
-    /// Records a refusal, which shows that the upstream is alive; `in_flight` excludes its request.
+    /// Records a refusal, which shows that the upstream is alive; `in_flight` excludes the request.
     pub fn refused(&mut self, in_flight: u32, now: Instant) {
-        self.ejection.end();
+        self.ejection.reset();
         self.silence.answered(in_flight, now);
     }
 
-    /// Records a broken answer or connection.
+    /// Records a failed connection or an invalid response.
     pub fn broken(&mut self, now: Instant) {
         self.failures.record_failure(now);
     }
 
-    /// Records that a request's deadline passed after `waited`; a silent upstream is ejected.
+    /// Records that a request's deadline passed after `waited`; ejects the upstream if it is
+    /// silent.
     pub fn timed_out(&mut self, waited: Duration, service: seconds::Seconds, now: Instant) {
         if self.is_silent(service, now) {
             self.ejection.eject(now);
@@ -75,30 +80,30 @@
         self.ejection.eject(now);
     }
 
-    /// Records the end of any try; `in_flight` excludes it.
+    /// Records the end of an attempt, with any result; `in_flight` excludes it.
     pub fn ended(&mut self, in_flight: u32) {
         self.silence.ended(in_flight);
     }
 
-    /// Returns whether it is ejected.
+    /// Returns whether the upstream is ejected.
     #[must_use]
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejection.is_active(now)
     }
 
-    /// Returns whether it is neither ejected nor silent.
+    /// Returns whether the upstream is neither ejected nor silent.
     #[must_use]
     pub fn is_healthy(&self, service: seconds::Seconds, now: Instant) -> bool {
         !self.is_ejected(now) && !self.is_silent(service, now)
     }
 
-    /// Returns how long it works on a request.
+    /// Returns the expected processing time of a request at this upstream.
     #[must_use]
     pub fn work(&self, service: seconds::Seconds, now: Instant) -> seconds::Seconds {
         seconds::Seconds(service.0 * self.work.get(now))
     }
 
-    /// Returns the share of its tries that broke, from 0 to 1, weighted to the latest.
+    /// Returns the weighted share of failed attempts, from 0 to 1.
     #[must_use]
     pub fn failure_rate(&self, now: Instant) -> f64 {
         self.failures.get(now)
--- a/crates/steer/src/dispatch/leaving.rs
+++ b/crates/steer/src/dispatch/leaving.rs
@@ -1,8 +1,10 @@
-//! Leaving: which upstreams have said in an answer that they leave.
+//! Upstream processes that have stated in a response that they are leaving.
 //!
-//! Owns them, with which node observed it when. A process that leaves never takes it back, so nothing but another process under the same
-//! name ends it: neither a later answer nor an entry of service discovery that still says ready. The node that observed it announces it to
-//! the others a few times; they hold to it as if they had observed it. Who misses that learns of it by [`repair`].
+//! Records which node observed each of them, and when. A process never withdraws the statement, so
+//! neither a later response nor a discovery entry in the ready state clears it; only a new process
+//! under the same name does. The node that observed it announces it to the other nodes a few times,
+//! and they treat it like their own observation. Nodes that miss the announcements learn of it by
+//! [`repair`].
 //!
 //! [`repair`]: crate::dispatch::fleet::repair
 
@@ -13,42 +15,44 @@
 
 use crate::dispatch::incarnation;
 
-/// Processes that are remembered at most, so that reports cannot fill the memory.
-const MOST_PROCESSES: usize = 16_384;
+/// Maximum number of recorded processes, so that reports cannot exhaust memory.
+const MAX_PROCESSES: usize = 16_384;
 
-/// Time for which a process is remembered that service discovery does not list: its entry may be written again after an outage of the store.
-const REMEMBERED: Duration = Duration::from_mins(10);
+/// Time for which a process is kept that service discovery does not list.
+///
+/// Its entry may be written again after a store outage.
+const RETENTION: Duration = Duration::from_mins(10);
 
-/// Reports in which a node announces one process, since a datagram may be lost.
-const REPORTS: u8 = 3;
+/// Number of reports in which a node announces a process, since datagrams may be lost.
+const ANNOUNCEMENT_REPORTS: u8 = 3;
 
-/// That a process leaves, as a node observed it.
+/// Observation that a process is leaving.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// When it answered so.
+    /// When the response arrived.
     pub at: Instant,
-    /// The node that reported it; none for this one's own answers.
+    /// The node that reported it; `None` if this node observed it.
     pub by: Option<id::Node>,
-    /// When service discovery listed it last, or when it was observed to leave.
+    /// When service discovery last listed the process; initially the time of recording.
     listed_at: Instant,
 }
 
-/// What nodes announce to each other of a process that leaves.
+/// Announcement between nodes that a process is leaving.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
     /// The process.
     pub incarnation: incarnation::Incarnation,
-    /// Time since it answered so.
+    /// Time since the response arrived.
     pub age: Duration,
 }
 
-/// Counts the reports in which processes were announced to the same nodes.
+/// Counts in how many reports each process was announced to one set of nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Announcer {
     reports: collections::BTreeMap<incarnation::Incarnation, u8>,
 }
 
-/// The processes that were observed to leave.
+/// The processes known to be leaving.
 #[derive(Clone, Debug, Default)]
 pub struct Leavings {
     observed: collections::BTreeMap<incarnation::Incarnation, Observation>,
@@ -56,13 +60,13 @@
 }
 
 impl Leavings {
-    /// Returns when a process was observed to leave, if it was.
+    /// Returns the observation that a process is leaving, if there is one.
     #[must_use]
     pub fn get(&self, incarnation: &incarnation::Incarnation) -> Option<&Observation> {
         self.observed.get(incarnation)
     }
 
-    /// Records that a process said at `at` that it leaves; returns whether that is new.
+    /// Records that a process stated at `at` that it is leaving; returns whether this is new.
     pub fn record(
         &mut self,
         incarnation: &incarnation::Incarnation,
@@ -70,7 +74,7 @@
         by: Option<&id::Node>,
         now: Instant,
     ) -> bool {
-        if self.observed.contains_key(incarnation) || self.observed.len() >= MOST_PROCESSES {
+        if self.observed.contains_key(incarnation) || self.observed.len() >= MAX_PROCESSES {
             return false;
         }
         let observed = Observation { at, by: by.cloned(), listed_at: now };
@@ -78,7 +82,7 @@
         true
     }
 
-    /// Returns the announcement of a process, if it was observed to leave.
+    /// Returns the announcement of a process, if it is known to be leaving.
     #[must_use]
     pub fn announcement(
         &self,
@@ -89,42 +93,43 @@
         Some(Announcement { incarnation, age })
     }
 
-    /// Returns what this node has to announce now of what it observed itself.
+    /// Returns the announcements that are due for this node's own observations.
     pub fn report(&mut self, now: Instant) -> Vec<Announcement> {
         let own = self.observed.iter().filter(|(_, observed)| observed.by.is_none());
         self.announcer.due(own, now)
     }
 
-    /// Returns what the `wanted` nodes announced, as far as `announcer` has not forwarded it yet.
+    /// Returns the announcements of the `includes` nodes that `announcer` still has to forward.
     pub fn report_sum(
         &self,
-        wanted: impl Fn(&id::Node) -> bool,
+        includes: impl Fn(&id::Node) -> bool,
         announcer: &mut Announcer,
         now: Instant,
     ) -> Vec<Announcement> {
         announcer.retain(&self.observed);
-        let of_wanted = self.observed.iter().filter(|(_, h)| h.by.as_ref().is_some_and(&wanted));
-        announcer.due(of_wanted, now)
+        let included = self.observed.iter().filter(|(_, o)| o.by.as_ref().is_some_and(&includes));
+        announcer.due(included, now)
     }
 
-    /// Forgets processes that service discovery has not listed for long.
+    /// Removes processes that service discovery has not listed for the retention time.
     pub fn tick(&mut self, is_listed: impl Fn(&incarnation::Incarnation) -> bool, now: Instant) {
         self.observed.retain(|incarnation, observed| {
             if is_listed(incarnation) {
                 observed.listed_at = now;
             }
-            now.saturating_duration_since(observed.listed_at) < REMEMBERED
+            now.saturating_duration_since(observed.listed_at) < RETENTION
         });
         self.announcer.retain(&self.observed);
     }
 }
 
 impl Announcer {
-    /// Forgets processes that are forgotten.
+    /// Removes the counts of processes that are no longer recorded.
     fn retain(&mut self, observed: &collections::BTreeMap<incarnation::Incarnation, Observation>) {
         self.reports.retain(|incarnation, _| observed.contains_key(incarnation));
     }
 
+    /// Returns the announcements that have not been repeated often enough, and counts them.
     fn due<'a>(
         &mut self,
         observed: impl Iterator<Item = (&'a incarnation::Incarnation, &'a Observation)>,
@@ -133,7 +138,7 @@
         let mut due = Vec::new();
         for (incarnation, observed) in observed {
             let reports = self.reports.entry(incarnation.clone()).or_default();
-            if *reports < REPORTS {
+            if *reports < ANNOUNCEMENT_REPORTS {
                 *reports += 1;
                 let age = now.saturating_duration_since(observed.at);
                 due.push(Announcement { incarnation: incarnation.clone(), age });
--- a/crates/steer/src/dispatch/outcome.rs
+++ b/crates/steer/src/dispatch/outcome.rs
@@ -1,7 +1,7 @@
-//! Outcome: how a try at an upstream ended, as far as it changes what a node knows of the upstream.
+//! Result of an attempt at an upstream, as far as it changes what a node knows about the upstream.
 //!
-//! Made by the gateway at the end of each try, and applied by the dispatcher. What follows for the request
-//! is decided by [`retry`].
+//! The gateway reports it at the end of each attempt, and the dispatcher applies it. [`retry`]
+//! decides what follows for the request.
 //!
 //! [`retry`]: crate::dispatch::retry
 
@@ -11,33 +11,33 @@
 
 use crate::dispatch::seen_objects;
 
-/// How a try at an upstream ended.
+/// Result of an attempt at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It answered.
+    /// The upstream responded.
     Answered {
-        /// Time from sending to the answer.
+        /// Time from sending the request to the response.
         latency: Duration,
-        /// How many times the work of one request passed until it was done, as far as known.
+        /// Estimated ratio of this time to the processing time without queueing.
         crowding: f64,
-        /// The request's object; none when it has none.
+        /// The request's object, if any.
         object: Option<seen_objects::Object>,
-        /// Load that it reported.
+        /// Load that the upstream reported.
         load: Option<load::Report>,
     },
-    /// It refused the request without running it.
+    /// The upstream refused the request without executing it.
     TurnedAway {
-        /// Load that it reported.
+        /// Load that the upstream reported.
         load: Option<load::Report>,
     },
-    /// Another upstream answers at its address.
+    /// Another upstream responded at its address.
     Replaced,
-    /// No connection could be opened, so nothing was sent.
+    /// No connection could be established, so nothing was sent.
     NotSent,
-    /// The connection broke, or the answer is not valid.
+    /// The connection failed after the request was sent, or the response is invalid.
     Broken,
     /// The request's deadline passed.
     TimedOut,
-    /// The caller left.
+    /// The caller disconnected.
     Abandoned,
 }
--- a/crates/steer/src/dispatch/peer_load.rs
+++ b/crates/steer/src/dispatch/peer_load.rs
@@ -1,8 +1,9 @@
-//! Peer load: what other nodes have in flight, by their latest reports.
+//! Requests that other nodes have in flight at each upstream, from their latest load reports.
 //!
-//! Owns the latest report of each node, and the sums over all nodes, which each report changes by its difference from
-//! the one before: a node of a region of a hundred gets over a hundred reports a second. Relies on the gossip of loads between nodes; [`reported_load`]
-//! combines the sums with what answers report.
+//! Keeps the latest report of each node and the totals over all nodes. Each report updates the
+//! totals by its difference from the previous one, because a node in a region of a hundred receives
+//! over a hundred reports a second. [`reported_load`] combines the totals with the loads that
+//! responses report.
 //!
 //! [`reported_load`]: crate::dispatch::reported_load
 
@@ -12,17 +13,17 @@
 use model::id;
 use xxhash_rust::xxh3;
 
-/// Time after which a report no longer counts.
+/// Age beyond which a report is ignored.
 ///
-/// Not measured; ten of the shortest gossip periods, so that a dead node's requests are soon forgotten.
-const MAX_AGE: Duration = Duration::from_millis(1_000);
+/// Ten of the shortest gossip periods, so that the requests of a dead node are soon dropped.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(1_000);
 
-/// Short name of an upstream in the gossip between nodes.
+/// Hash that identifies an upstream in the gossip between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key(pub u32);
 
 impl Key {
-    /// Returns the short name of `upstream`.
+    /// Returns the key of `upstream`.
     #[must_use]
     pub fn of(upstream: &id::Upstream) -> Self {
         let hash = xxh3::xxh3_64(upstream.as_str().as_bytes());
@@ -31,20 +32,20 @@
     }
 }
 
-/// The latest report of one node.
+/// The latest load report of one node.
 #[derive(Clone, Debug)]
 struct Report {
     requests: Vec<(Key, u32)>,
-    at: Instant,
+    received: Instant,
 }
 
 impl Report {
-    fn counts(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) <= MAX_AGE
+    fn is_fresh(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.received) <= MAX_REPORT_AGE
     }
 }
 
-/// The latest reports of other nodes.
+/// The latest load reports of other nodes, and their totals.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     reports: collections::BTreeMap<id::Node, Report>,
@@ -52,22 +53,22 @@
 }
 
 impl Peers {
-    /// Replaces the report of `node`; returns the upstreams whose sums may have changed.
+    /// Replaces the report of `node`; returns the upstreams whose totals may have changed.
     pub fn report(&mut self, node: id::Node, requests: Vec<(Key, u32)>, now: Instant) -> Vec<Key> {
         for (key, requests) in &requests {
             *self.totals.entry(*key).or_insert(0) += requests;
         }
         let mut changed: Vec<Key> = requests.iter().map(|(key, _)| *key).collect();
-        if let Some(before) = self.reports.insert(node, Report { requests, at: now }) {
-            changed.extend(before.requests.iter().map(|(key, _)| *key));
-            self.subtract(&before);
+        if let Some(previous) = self.reports.insert(node, Report { requests, received: now }) {
+            changed.extend(previous.requests.iter().map(|(key, _)| *key));
+            self.subtract(&previous);
         }
         changed
     }
 
-    /// Drops reports that no longer count; returns the upstreams whose sums may have changed.
+    /// Removes reports that are too old; returns the upstreams whose totals may have changed.
     pub fn expire(&mut self, now: Instant) -> Vec<Key> {
-        let is_old = |_: &id::Node, report: &mut Report| !report.counts(now);
+        let is_old = |_: &id::Node, report: &mut Report| !report.is_fresh(now);
         let expired: Vec<_> = self.reports.extract_if(.., is_old).collect();
         for (_, report) in &expired {
             self.subtract(report);
@@ -75,7 +76,7 @@
         expired.iter().flat_map(|(_, report)| &report.requests).map(|(key, _)| *key).collect()
     }
 
-    /// Returns what all nodes have in flight at an upstream.
+    /// Returns how many requests the other nodes together have in flight at an upstream.
     #[must_use]
     pub fn total(&self, key: Key) -> u32 {
         self.totals.get(&key).copied().unwrap_or(0)
@@ -92,11 +93,11 @@
         }
     }
 
-    /// Returns the sums over the `wanted` nodes, by upstream.
+    /// Returns the totals over the nodes that `includes` selects, by upstream.
     #[must_use]
-    pub fn sum(&self, wanted: impl Fn(&id::Node) -> bool, now: Instant) -> Vec<(Key, u32)> {
+    pub fn sum(&self, includes: impl Fn(&id::Node) -> bool, now: Instant) -> Vec<(Key, u32)> {
         let reports =
-            self.reports.iter().filter(|(node, report)| wanted(node) && report.counts(now));
+            self.reports.iter().filter(|(node, report)| includes(node) && report.is_fresh(now));
         let mut sums: collections::BTreeMap<Key, u32> = collections::BTreeMap::new();
         for (key, requests) in reports.flat_map(|(_, report)| &report.requests) {
             *sums.entry(*key).or_insert(0) += requests;
--- a/crates/steer/src/dispatch/refusal.rs
+++ b/crates/steer/src/dispatch/refusal.rs
@@ -1,7 +1,8 @@
-//! Refusal: why the dispatcher finds no upstream for a request, with what decided that.
+//! Reasons why the dispatcher finds no upstream for a request, with the data behind the decision.
 //!
-//! Owns the text of the log key `inputs`, which docs/OPERATING-GATEWAYS.md explains. Made by [`eligibility`] and
-//! [`admission`].
+//! Defines the text of the log key `inputs`, which docs/OPERATING-GATEWAYS.md explains.
+//! [`eligibility`] and
+//! [`admission`] create the refusals.
 //!
 //! [`admission`]: crate::dispatch::admission
 //! [`eligibility`]: crate::dispatch::eligibility
@@ -13,79 +14,79 @@
 
 use crate::dispatch::give_up;
 
-/// Why a request gets no upstream. It has not run.
+/// Why no upstream was selected for a request. The request has not been executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No upstream of the service may take it now.
+    /// No upstream of the service is eligible now.
     NoUpstream(Exclusions),
-    /// Every upstream that would take it names a limit which is used up.
+    /// Every otherwise eligible upstream has announced a rate limit that is used up.
     Limited {
-        /// Time after which one of them has room.
+        /// Time after which one of them accepts another request.
         retry_after: Duration,
-        /// The upstreams.
+        /// These upstreams.
         upstreams: Vec<id::Upstream>,
     },
-    /// Every upstream that would take it wants no requests from this node for now.
+    /// Every otherwise eligible upstream has asked this node for a rest period.
     Resting {
-        /// Time after which one of them has rested.
+        /// Time after which the first rest period ends.
         retry_after: Duration,
-        /// Why each upstream may not take it.
+        /// Why the upstreams are excluded.
         exclusions: Exclusions,
     },
-    /// The best upstream would answer it too late.
+    /// Even the best upstream is expected to respond too late.
     Overloaded {
         /// Time after which a retry may be admitted.
         retry_after: Duration,
-        /// What was known of the best upstream.
+        /// The estimate for the best upstream.
         estimate: Estimate,
     },
 }
 
-/// Upstreams of a service by why they may not take a request.
+/// Number of upstreams of a service that are excluded from a request, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Exclusions {
     /// All upstreams of the service.
     pub known: usize,
-    /// Those that drain or said that they leave, or whose address another one has.
+    /// Those that are draining or leaving, or whose address belongs to another upstream.
     pub leaving: usize,
-    /// Those in regions that may not serve the route.
+    /// Those in regions that must not serve the route.
     pub outside: usize,
     /// Those in evacuated halls.
     pub evacuated: usize,
-    /// Those that want no requests from this node for now.
+    /// Those that have asked this node for a rest period.
     pub resting: usize,
-    /// Cold ones to which this node may not send one more request now.
+    /// Cold ones to which this node must not send another request now.
     pub cold: usize,
-    /// Those that the request was sent to before.
+    /// Those that the request was already sent to.
     pub tried: usize,
 }
 
-/// What was known of the best upstream for a request.
+/// Estimated time until the best upstream responds to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Estimate {
     /// The upstream.
     pub upstream: id::Upstream,
-    /// Time the request would have waited there.
+    /// Expected queueing time there.
     pub wait: Duration,
-    /// Cautious estimate of the time until the answer.
+    /// Conservative estimate of the time until the response.
     pub expected: Duration,
     /// Time until the request's deadline.
     pub time_left: Duration,
-    /// Age of the latest load that the upstream reported.
+    /// Age of the latest load reported by the upstream.
     pub load_age: Duration,
 }
 
 impl Exclusions {
-    /// Returns whether all that would take the request rest, and nothing else keeps them from it.
+    /// Returns whether rest periods are the only reason why no upstream is eligible.
     #[must_use]
     pub fn all_rest(&self) -> bool {
-        let takes_none = self.outside + self.leaving + self.evacuated;
-        self.resting > 0 && self.resting + takes_none == self.known
+        let unavailable = self.outside + self.leaving + self.evacuated;
+        self.resting > 0 && self.resting + unavailable == self.known
     }
 }
 
 impl Refusal {
-    /// Returns why the request is given up.
+    /// Returns the reason for which the request fails.
     #[must_use]
     pub fn reason(&self) -> give_up::Reason {
         match self {
@@ -104,7 +105,7 @@
 }
 
 impl fmt::Display for Refusal {
-    /// Writes what decided, as the log key `inputs` holds it.
+    /// Writes the value of the log key `inputs`.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NoUpstream(exclusions) | Self::Resting { exclusions, .. } => {
--- a/crates/steer/src/dispatch/reported_load.rs
+++ b/crates/steer/src/dispatch/reported_load.rs
@@ -1,7 +1,8 @@
-//! Reported load: how many requests an upstream has, as far as this node knows.
+//! Estimated number of requests that an upstream has in flight.
 //!
-//! Owns the counts of one upstream: this node's own requests exactly, those of other nodes by
-//! [`peer_load`] or by the load that answers report, whichever is higher.
+//! This node's own requests are counted exactly. Those of other nodes are the higher of the totals
+//! of
+//! [`peer_load`] and the load that the upstream reported in its responses.
 //!
 //! [`peer_load`]: crate::dispatch::peer_load
 
@@ -9,15 +10,15 @@
 
 use model::load;
 
-/// Time in which a reported load loses most of its weight.
+/// Time constant of the exponential decay of a reported load.
 ///
-/// Not measured; four of the shortest periods of load reports between nodes.
-const MEMORY: Duration = Duration::from_millis(400);
+/// Four of the shortest periods of load reports between nodes.
+const DECAY_TIME: Duration = Duration::from_millis(400);
 
-/// Requests that a full upstream is assumed to have, as a multiple of its slots. Not measured.
+/// Requests assumed at a full upstream, as a multiple of its slots.
 const FULL_FACTOR: f64 = 2.0;
 
-/// Load of one upstream as this node sees it.
+/// Estimated load of one upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     in_flight: u32,
@@ -27,24 +28,24 @@
 }
 
 impl Load {
-    /// Starts without load.
+    /// Creates a load of zero.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self { in_flight: 0, peers: 0, others: 0.0, reported: now }
     }
 
-    /// Returns this node's requests in flight.
+    /// Returns the number of this node's requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Records a send.
+    /// Records that a request is sent.
     pub fn sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Records the end of a try.
+    /// Records the end of an attempt.
     pub fn ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
@@ -54,14 +55,14 @@
         self.peers = requests;
     }
 
-    /// Records the load in an answer, whose request has ended already.
+    /// Records the load reported in a response, after the end of the response's own request.
     pub fn report(&mut self, load: load::Report, now: Instant) {
         let all = f64::from(load.running + load.waiting);
         self.others = (all - f64::from(self.in_flight)).max(0.0);
         self.reported = now;
     }
 
-    /// Records that the upstream refused a request since it is full.
+    /// Records that the upstream refused a request because it is full.
     pub fn full(&mut self, slots: u32, now: Instant) {
         self.others = self.others.max(f64::from(slots) * FULL_FACTOR);
         self.reported = now;
@@ -73,11 +74,11 @@
         now.saturating_duration_since(self.reported)
     }
 
-    /// Returns how many requests it has; a report counts for less with its age.
+    /// Returns the estimated number of requests; a reported load decays with its age.
     #[must_use]
     pub fn requests(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.reported).as_secs_f64();
-        let others = self.others * (-age / MEMORY.as_secs_f64()).exp();
+        let others = self.others * (-age / DECAY_TIME.as_secs_f64()).exp();
         f64::from(self.in_flight) + others.max(f64::from(self.peers))
     }
 }
--- a/crates/steer/src/dispatch/rest.rs
+++ b/crates/steer/src/dispatch/rest.rs
@@ -1,35 +1,39 @@
-//! Rest: which upstreams turned a request of this node away and want none from it for a time.
+//! Rest periods: upstream processes that refused a request of this node and asked it to send none
+//! for a time.
 //!
-//! Owns the end of each rest. A rest is asked of one node, which reports it to no other. It ends by its time or with the process: a refusal that asks
-//! for less does not shorten it, since the upstream asked for both, and neither does a success, whose request came before it. Nothing is
-//! sent to try whether it may end sooner.
+//! The request for a rest period applies to one node, which does not share it with others. The
+//! period ends when its time is over or with the process. A refusal that asks for a shorter time
+//! does not shorten it, since the upstream asked for both; neither does a success, whose request
+//! was sent earlier. No request is sent to test whether the period could end sooner.
 
 use std::collections;
 use std::time::{Duration, Instant};
 
 use crate::dispatch::incarnation;
 
-/// Time over which callers that wait for the end of a rest are asked to return.
-const SPREAD: Duration = Duration::from_millis(500);
+/// Time over which the retries of waiting callers are spread after the end of a rest period.
+const RETRY_SPREAD: Duration = Duration::from_millis(500);
 
-/// Part of the spread between two callers that follow each other: the golden ratio, by which any few of them lie apart.
-const STEP: f64 = 0.618_033_988_749_895;
+/// Distance between the retries of successive callers, as a share of the spread.
+///
+/// Multiples of the golden ratio, modulo 1, are well distributed for any number of callers.
+const RETRY_STEP: f64 = 0.618_033_988_749_895;
 
-/// The processes that rest.
+/// Processes in a rest period.
 #[derive(Clone, Debug, Default)]
 pub struct Rests {
     until: collections::BTreeMap<incarnation::Incarnation, Instant>,
-    spread: f64,
+    retry_offset: f64,
 }
 
 impl Rests {
-    /// Returns when a process has rested; none when it does not rest.
+    /// Returns the end of a process's rest period, if it has one.
     #[must_use]
     pub fn until(&self, incarnation: &incarnation::Incarnation) -> Option<Instant> {
         self.until.get(incarnation).copied()
     }
 
-    /// Records that a process wants `rest` from `now` on; returns when it has rested.
+    /// Records that a process asks for a rest period of `rest` from `now` on; returns its end.
     pub fn record(
         &mut self,
         incarnation: &incarnation::Incarnation,
@@ -41,13 +45,15 @@
         *until
     }
 
-    /// Returns after which time a caller may return that waits until `earliest`.
+    /// Returns the `Retry-After` time of a caller that must wait until `earliest`.
+    ///
+    /// The times of successive callers are spread, so that they do not return at once.
     pub fn retry_after(&mut self, earliest: Instant, now: Instant) -> Duration {
-        self.spread = (self.spread + STEP).fract();
-        earliest.saturating_duration_since(now) + SPREAD.mul_f64(self.spread)
+        self.retry_offset = (self.retry_offset + RETRY_STEP).fract();
+        earliest.saturating_duration_since(now) + RETRY_SPREAD.mul_f64(self.retry_offset)
     }
 
-    /// Forgets rests that are over.
+    /// Removes rest periods that are over.
     pub fn tick(&mut self, now: Instant) {
         self.until.retain(|_, until| now < *until);
     }
--- a/crates/steer/src/dispatch/retry.rs
+++ b/crates/steer/src/dispatch/retry.rs
@@ -1,9 +1,10 @@
-//! Retry: whether a request is sent to another upstream after a try ended.
+//! Retries: decides whether a request is sent to another upstream after an attempt ended.
 //!
-//! Owns the progress of one request: upstreams chosen, how each try ended ([`tried`]), whether it may have run.
-//! Relies on [`dispatcher`] for the upstream of each try, on [`retry_budget`] through the caller's
-//! `take_retry`, and on [`give_up`] for the reasons. The gateway's `proxy::tries` performs the I/O and
-//! reports how each try ended.
+//! Tracks the progress of one request: the selected upstreams, how each attempt ended ([`tried`])
+//! and whether the request may have been executed. [`dispatcher`] selects the upstream of each
+//! attempt, [`retry_budget`] limits retries through the `take_retry` argument, and [`give_up`]
+//! defines the failure reasons. The gateway's `proxy::tries` performs the I/O and reports how each
+//! attempt ended.
 //!
 //! [`retry_budget`]: crate::dispatch::retry_budget
 //! [`tried`]: crate::dispatch::tried
@@ -24,83 +25,85 @@
 
 pub use crate::dispatch::tried::{End, Outcome, Try};
 
-/// Failed connections, in upstreams, after which a request is given up.
+/// Number of unreachable upstreams after which a request fails.
 ///
-/// Measured: docs/incidents/diagne.md, inc-c429. Three gave requests up while other upstreams were
-/// idle, because several had crashed together; six was not compared with other limits.
+/// With 3, requests failed while other upstreams were idle, because several had crashed together
+/// (docs/incidents/diagne.md, inc-c429).
 const MAX_UNREACHABLE: usize = 6;
 
-/// What follows a try.
+/// Next step after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Pass the answer on.
+    /// Forward the response.
     Answer,
-    /// Try another upstream. The first send failed before it began, so no retry was taken.
+    /// Try another upstream. Nothing was sent, so no retry was taken from the budget.
     TryAnother,
     /// Try another upstream; a retry was taken from the budget.
     Retry,
-    /// Answer the caller with this reason.
+    /// Fail the request with this reason.
     GiveUp(give_up::Reason),
 }
 
-/// What stays the same for all tries of a request.
+/// Properties of a request that are the same for all attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
     /// Its route.
     pub route: &'a route::Route,
-    /// The service of the route that answers it.
+    /// The service selected by the route.
     pub service: &'a id::Service,
-    /// Hash of its object; of the request itself when it has none.
+    /// Hash of its object, or of the request itself if it has no object.
     pub key: u64,
-    /// Time at which its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// Regions that may serve it; all when empty.
+    /// Regions that may serve it; empty for all regions.
     pub homes: &'a [id::Region],
-    /// How urgent it is.
+    /// Its urgency.
     pub urgency: urgency::Urgency,
 }
 
-/// The upstream chosen for a try.
+/// The upstream selected for an attempt.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The upstream.
     pub upstream: sync::Arc<discovery::Entry>,
-    /// Whether it is the first one of the request.
+    /// Whether this is the first attempt of the request.
     pub is_first: bool,
-    /// The request's object; none when it has none.
+    /// The request's object, if any.
     pub object: Option<seen_objects::Object>,
-    /// The upstream that the request's object prefers, where it said that it leaves, or rests.
+    /// The upstream preferred for the object, if it was avoided because it is leaving or in a rest
+    /// period.
     pub avoided: Option<id::Upstream>,
-    /// Upstreams that came before it, and whose limits are used up.
+    /// Better candidates that were skipped because their announced limits are used up.
     pub skipped: Vec<id::Upstream>,
 }
 
 impl Choice {
-    /// Returns whether the request goes elsewhere for what upstreams say of themselves.
+    /// Returns whether the request is diverted because of statements that upstreams made about
+    /// themselves.
     #[must_use]
     pub fn is_diverted(&self) -> bool {
         self.avoided.is_some() || !self.skipped.is_empty()
     }
 }
 
-/// What the current try waits for.
+/// What the current attempt waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// There is no try.
+    /// There is no attempt.
     Idle,
-    /// The upstream's connection.
+    /// A connection to the upstream.
     Connection,
-    /// The upstream's answer.
+    /// The upstream's response.
     Answer,
 }
 
-/// Progress of one request over its tries.
+/// Progress of one request over its attempts.
 #[derive(Clone, Debug)]
 pub struct Progress {
     is_repeatable: bool,
     max_attempts: u32,
     chosen: Vec<id::Upstream>,
-    ended: Vec<Try>,
+    ended_attempts: Vec<Try>,
     stage: Stage,
     sent: u32,
     unreachable: usize,
@@ -109,14 +112,14 @@
 }
 
 impl Progress {
-    /// Starts a request of `route` without a try.
+    /// Creates the progress of a request of `route`, without attempts.
     #[must_use]
     pub fn new(route: &route::Route) -> Self {
         Self {
             is_repeatable: route.repetition.is_repeatable(),
             max_attempts: route.max_attempts,
             chosen: Vec::new(),
-            ended: Vec::new(),
+            ended_attempts: Vec::new(),
             stage: Stage::Idle,
             sent: 0,
             unreachable: 0,
@@ -125,36 +128,36 @@
         }
     }
 
-    /// Returns the upstreams chosen so far, the latest last.
+    /// Returns the upstreams selected so far, the latest last.
     #[must_use]
     pub fn chosen(&self) -> &[id::Upstream] {
         &self.chosen
     }
 
-    /// Returns the tries that ended, in order.
+    /// Returns the attempts that ended, in order.
     #[must_use]
     pub fn ended(&self) -> &[Try] {
-        &self.ended
+        &self.ended_attempts
     }
 
-    /// Returns the dispatcher's refusal, if one ended the request.
+    /// Returns the dispatcher's refusal, if it ended the request.
     #[must_use]
     pub fn refusal(&self) -> Option<&refusal::Refusal> {
         self.refusal.as_ref()
     }
 
-    /// Starts a try: chooses its upstream at `now`.
+    /// Starts an attempt and selects its upstream at `now`.
     ///
     /// # Errors
     ///
-    /// Returns why the request is given up when the dispatcher refuses it.
+    /// Returns the failure reason if the dispatcher refuses the request.
     pub fn choose(
         &mut self,
         request: Request<'_>,
         dispatcher: &mut dispatcher::Dispatcher,
         now: Instant,
     ) -> Result<Choice, give_up::Reason> {
-        match dispatcher.choose(&self.for_dispatcher(request, now), now) {
+        match dispatcher.choose(&self.dispatcher_request(request, now), now) {
             Ok(candidate) => {
                 let is_first = self.chosen.is_empty();
                 self.chosen.push(candidate.entry.id.clone());
@@ -170,12 +173,14 @@
             Err(refusal) => {
                 let reason = refusal.reason();
                 self.refusal = Some(refusal);
-                Err(self.reason(reason))
+                Err(self.unless_may_have_run(reason))
             }
         }
     }
 
-    /// Gives the request up because its last upstream refused it, or since all upstreams rest.
+    /// Returns the failure reason of a request that its last upstream refused.
+    ///
+    /// This is `Resting` if all upstreams have meanwhile asked for a rest period.
     #[must_use]
     pub fn turned_away(
         &self,
@@ -183,13 +188,17 @@
         dispatcher: &mut dispatcher::Dispatcher,
         now: Instant,
     ) -> give_up::Reason {
-        match dispatcher.all_rest(&self.for_dispatcher(request, now), now) {
+        match dispatcher.all_rest(&self.dispatcher_request(request, now), now) {
             Some(retry_after) => give_up::Reason::Resting { retry_after },
             None => give_up::Reason::TurnedAway,
         }
     }
 
-    fn for_dispatcher<'a>(&'a self, request: Request<'a>, now: Instant) -> request::Request<'a> {
+    fn dispatcher_request<'a>(
+        &'a self,
+        request: Request<'a>,
+        now: Instant,
+    ) -> request::Request<'a> {
         request::Request {
             route: request.route,
             service: request.service,
@@ -201,32 +210,32 @@
         }
     }
 
-    /// Gives the request up because its organisation's key was taken away.
+    /// Returns the failure reason of a request whose organisation's key was revoked.
     #[must_use]
     pub fn revoke(&self) -> give_up::Reason {
-        self.reason(give_up::Reason::Revoked)
+        self.unless_may_have_run(give_up::Reason::Revoked)
     }
 
-    /// Gives the request up because upstreams crash under it.
+    /// Returns the failure reason of a request that was quarantined.
     #[must_use]
     pub fn hold(&self, retry_after: Duration) -> give_up::Reason {
-        self.reason(give_up::Reason::Quarantined { retry_after })
+        self.unless_may_have_run(give_up::Reason::Quarantined { retry_after })
     }
 
-    /// Records that the current try opens a connection, for the first time or again.
+    /// Records that the current attempt opens a connection, for the first time or again.
     pub fn connecting(&mut self) {
         self.stage = Stage::Connection;
     }
 
-    /// Records that the current try sends the request.
+    /// Records that the current attempt sends the request.
     pub fn sending(&mut self) {
         self.stage = Stage::Answer;
     }
 
-    /// Ends the current try and decides what follows.
+    /// Ends the current attempt and decides the next step.
     ///
-    /// `is_body_ready` says whether the body can be sent again. `take_retry` takes one retry from the
-    /// fleet's budget, and is called only when all else allows one.
+    /// `is_body_ready` states whether the body can be sent again. `take_retry` takes one retry from
+    /// the budget; it is called only if all other conditions for a retry hold.
     pub fn end(
         &mut self,
         outcome: Outcome,
@@ -237,21 +246,21 @@
             Outcome::Answered(_) => Next::Answer,
             Outcome::TurnedAway | Outcome::Replaced => {
                 self.sent += 1;
-                self.retry(is_body_ready, take_retry, give_up::Reason::TurnedAway)
+                self.retry_or_fail(is_body_ready, take_retry, give_up::Reason::TurnedAway)
             }
             Outcome::Broken(_) => {
                 self.sent += 1;
                 self.may_have_run = true;
                 let is_ready = self.is_repeatable && is_body_ready;
-                self.retry(is_ready, take_retry, give_up::Reason::MayHaveRun)
+                self.retry_or_fail(is_ready, take_retry, give_up::Reason::MayHaveRun)
             }
-            Outcome::NotSent(_) => self.after_unreachable(is_body_ready),
+            Outcome::NotSent(_) => self.next_after_unreachable(is_body_ready),
         };
-        self.record(End::Outcome(outcome));
+        self.record_end(End::Outcome(outcome));
         next
     }
 
-    /// Ends the request at its deadline, with the try that was not answered.
+    /// Ends the request at its deadline, together with the pending attempt.
     pub fn expire(&mut self) -> give_up::Reason {
         let reason = match (self.may_have_run, self.stage) {
             (true, _) | (_, Stage::Answer) => give_up::Reason::TimedOut,
@@ -259,49 +268,51 @@
         };
         match self.stage {
             Stage::Idle => {}
-            Stage::Connection => self.record(End::NoConnection),
-            Stage::Answer => self.record(End::NoAnswer),
+            Stage::Connection => self.record_end(End::NoConnection),
+            Stage::Answer => self.record_end(End::NoAnswer),
         }
         reason
     }
 
-    /// A failed connection sends nothing, so it costs neither an attempt nor a retry of the budget.
+    /// Decides the next step after a failed connection.
     ///
-    /// A body that was handed to the connection and cannot be sent again ends the request: the next
-    /// upstream would get it empty.
-    fn after_unreachable(&mut self, is_body_ready: bool) -> Next {
+    /// Nothing was sent, so it counts neither as one of the route's attempts nor against the retry
+    /// budget. If the body was handed to the connection and cannot be sent again, the request
+    /// fails, because the next upstream would receive an empty body.
+    fn next_after_unreachable(&mut self, is_body_ready: bool) -> Next {
         self.unreachable += 1;
         match self.unreachable >= MAX_UNREACHABLE || !is_body_ready {
-            true => Next::GiveUp(self.reason(give_up::Reason::Unreachable)),
+            true => Next::GiveUp(self.unless_may_have_run(give_up::Reason::Unreachable)),
             false => Next::TryAnother,
         }
     }
 
-    /// Takes a retry if the body, the route's attempts and the budget allow one, in this order.
-    fn retry(
+    /// Takes a retry if the body, the route's attempt limit and the budget allow it, checked in
+    /// this order.
+    fn retry_or_fail(
         &self,
         is_body_ready: bool,
         take_retry: impl FnOnce() -> bool,
-        otherwise: give_up::Reason,
+        failure: give_up::Reason,
     ) -> Next {
         match is_body_ready && self.sent < self.max_attempts && take_retry() {
             true => Next::Retry,
-            false => Next::GiveUp(self.reason(otherwise)),
+            false => Next::GiveUp(self.unless_may_have_run(failure)),
         }
     }
 
-    /// Returns `reason`, unless an earlier try may have run: then nothing proves the contrary.
-    fn reason(&self, reason: give_up::Reason) -> give_up::Reason {
+    /// Returns `reason`, or `MayHaveRun` if an earlier attempt may have executed the request.
+    fn unless_may_have_run(&self, reason: give_up::Reason) -> give_up::Reason {
         match self.may_have_run {
             true => give_up::Reason::MayHaveRun,
             false => reason,
         }
     }
 
-    fn record(&mut self, end: End) {
+    fn record_end(&mut self, end: End) {
         self.stage = Stage::Idle;
         if let Some(upstream) = self.chosen.last().cloned() {
-            self.ended.push(Try { upstream, end });
+            self.ended_attempts.push(Try { upstream, end });
         }
     }
 }
--- a/crates/steer/src/dispatch/retry_budget.rs
+++ b/crates/steer/src/dispatch/retry_budget.rs
@@ -1,98 +1,103 @@
-//! Retry budget: this node's part of the retries that the fleet may send to a service.
+//! Retry budget: this node's share of the retries that the fleet may send to a service.
 //!
-//! Owns the counts of one service over a sliding window. Relies on `Bounds` for the ratio, the window and
-//! the slack, which the dispatcher divides by the nodes of the fleet. Called by [`retry`], for every send
-//! of a request that an upstream may have received before.
+//! Counts the attempts at one service over a sliding window. `Bounds` defines the ratio, the window
+//! and the slack, which the dispatcher divides by the number of nodes in the fleet. [`retry`] takes
+//! from the budget for every repeated send of a request that an upstream may have received.
 //!
-//! A node that starts again has forgotten which retries it sent, so its part of the slack grows from one retry: with what its former
-//! process sent in the same window the fleet stays within the slack where its nodes are restarted.
+//! A restarted node does not know which retries its former process sent. Its share of the slack
+//! therefore grows from one retry, so that the fleet stays within the slack while its nodes are
+//! restarted.
 //!
 //! [`retry`]: crate::dispatch::retry
 
 use std::collections;
 use std::time::{Duration, Instant};
 
-/// Part of the allowance that is used.
+/// Share of the allowance that is used.
 ///
-/// Not measured; the margin is for the delay between sending and arriving, where the limit is counted.
+/// The limit applies to arriving requests, so the margin allows for the delay between sending and
+/// arrival.
 const USED_SHARE: f64 = 0.75;
 
-/// Windows in which the slack of a new budget grows to its full, so that a former process and the new one together use no more
-/// than the whole in one window.
-const SLACK_WINDOWS: u32 = 4;
+/// Number of windows in which the slack of a new budget grows to its full value.
+///
+/// The former and the new process together must not use more than the full slack in one window.
+const SLACK_GROWTH_WINDOWS: u32 = 4;
 
-/// Slack of a new budget: one retry, so that the first request whose answer is lost need not fail.
-const FIRST_SLACK: f64 = 1.0 / USED_SHARE;
+/// Slack of a new budget: one retry, so that the first request whose response is lost can be
+/// retried.
+const INITIAL_SLACK: f64 = 1.0 / USED_SHARE;
 
-/// Buckets in a window. Not measured; a request leaves the window at most a twentieth late.
+/// Buckets in a window; a request leaves the window late by at most one bucket, a twentieth of it.
 const BUCKETS: u32 = 20;
 
-/// Requests and retries to one service, over a sliding window.
+/// First attempts and retries at one service, over a sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
     buckets: collections::VecDeque<Bucket>,
-    since: Option<Instant>,
+    created: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    began: Instant,
-    first_tries: u32,
+    start: Instant,
+    first_attempts: u32,
     retries: u32,
 }
 
-/// What a budget allows.
+/// Parameters of a budget.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
     /// Length of the window.
     pub window: Duration,
-    /// Retries allowed for each first try.
+    /// Retries allowed per first attempt.
     pub ratio: f64,
-    /// Retries allowed beside those, for this node, in one window.
+    /// Additional retries allowed for this node in one window.
     pub slack: f64,
 }
 
 impl Budget {
-    /// Records a first try.
+    /// Records a first attempt.
     pub fn first_try(&mut self, allowance: Allowance, now: Instant) {
-        self.since.get_or_insert(now);
-        self.bucket(allowance, now).first_tries += 1;
+        self.created.get_or_insert(now);
+        self.current_bucket(allowance, now).first_attempts += 1;
     }
 
-    /// Takes one retry; returns false when none is left.
+    /// Takes one retry; returns `false` if none is left.
     pub fn retry(&mut self, allowance: Allowance, now: Instant) -> bool {
-        let first_tries: u32 = self.within(allowance, now).map(|b| b.first_tries).sum();
-        let retries: u32 = self.within(allowance, now).map(|b| b.retries).sum();
-        let most = f64::from(first_tries) * allowance.ratio + self.slack(allowance, now);
-        let is_allowed = f64::from(retries) + 1.0 <= most * USED_SHARE;
+        let first_attempts: u32 =
+            self.recent_buckets(allowance, now).map(|b| b.first_attempts).sum();
+        let retries: u32 = self.recent_buckets(allowance, now).map(|b| b.retries).sum();
+        let allowed = f64::from(first_attempts) * allowance.ratio + self.slack(allowance, now);
+        let is_allowed = f64::from(retries) + 1.0 <= allowed * USED_SHARE;
         if is_allowed {
-            self.bucket(allowance, now).retries += 1;
+            self.current_bucket(allowance, now).retries += 1;
         }
         is_allowed
     }
 
-    /// Returns the part of the slack that a budget of this age may use.
+    /// Returns how much of the slack a budget of this age may use.
     fn slack(&mut self, allowance: Allowance, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(*self.since.get_or_insert(now));
-        let grown = age.as_secs_f64() / (allowance.window * SLACK_WINDOWS).as_secs_f64();
-        allowance.slack.min(FIRST_SLACK + allowance.slack * grown)
+        let age = now.saturating_duration_since(*self.created.get_or_insert(now));
+        let growth = age.as_secs_f64() / (allowance.window * SLACK_GROWTH_WINDOWS).as_secs_f64();
+        allowance.slack.min(INITIAL_SLACK + allowance.slack * growth)
     }
 
-    fn within(&self, allowance: Allowance, now: Instant) -> impl Iterator<Item = &Bucket> {
+    fn recent_buckets(&self, allowance: Allowance, now: Instant) -> impl Iterator<Item = &Bucket> {
         let is_recent =
-            move |b: &&Bucket| now.saturating_duration_since(b.began) <= allowance.window;
+            move |b: &&Bucket| now.saturating_duration_since(b.start) <= allowance.window;
         self.buckets.iter().filter(is_recent)
     }
 
-    fn bucket(&mut self, allowance: Allowance, now: Instant) -> &mut Bucket {
+    fn current_bucket(&mut self, allowance: Allowance, now: Instant) -> &mut Bucket {
         let length = allowance.window / BUCKETS;
-        let is_old = |b: &Bucket| now.saturating_duration_since(b.began) > allowance.window;
+        let is_old = |b: &Bucket| now.saturating_duration_since(b.start) > allowance.window;
         while self.buckets.front().is_some_and(is_old) {
             self.buckets.pop_front();
         }
-        let is_current = |b: &Bucket| now.saturating_duration_since(b.began) < length;
+        let is_current = |b: &Bucket| now.saturating_duration_since(b.start) < length;
         if !self.buckets.back().is_some_and(is_current) {
-            self.buckets.push_back(Bucket { began: now, first_tries: 0, retries: 0 });
+            self.buckets.push_back(Bucket { start: now, first_attempts: 0, retries: 0 });
         }
         let last = self.buckets.len() - 1;
         &mut self.buckets[last]
--- a/crates/steer/src/dispatch/seconds.rs
+++ b/crates/steer/src/dispatch/seconds.rs
@@ -1,11 +1,11 @@
 //! Seconds as a floating-point number, for estimates that are averaged and compared.
 //!
-//! Relies on nothing. `std::time::Duration` rounds to nanoseconds, which would change the order of two
-//! nearly equal estimates and so which upstream takes a request.
+//! `std::time::Duration` rounds to nanoseconds, which could change the order of two nearly equal
+//! estimates and so the selected upstream.
 
 use std::time::Duration;
 
-/// A time in seconds; may be negative or infinite.
+/// A duration in seconds; may be negative or infinite.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Seconds(pub f64);
 
--- a/crates/steer/src/dispatch/silence.rs
+++ b/crates/steer/src/dispatch/silence.rs
@@ -1,7 +1,7 @@
-//! Silence: an upstream that has requests in flight and answers none of them is suspect.
+//! Silence: detects an upstream that has requests in flight and responds to none of them.
 //!
-//! Owns the start of one upstream's silence. Relies on its work time for how long silence is usual.
-//! [`selection`] uses silent upstreams only when all are ejected or silent.
+//! The usual silence follows from the upstream's processing time. [`selection`] uses silent
+//! upstreams only when all upstreams are ejected or silent.
 //!
 //! [`selection`]: crate::dispatch::selection
 
@@ -9,43 +9,43 @@
 
 use crate::dispatch::seconds;
 
-/// Shortest silence that is suspect. Not measured.
-const SHORTEST: Duration = Duration::from_millis(1_000);
+/// Silence up to this length is never suspect.
+const MIN_SUSPECT_SILENCE: Duration = Duration::from_millis(1_000);
 
-/// Silence that is suspect, as a multiple of the upstream's work time. Not measured.
-const WORK_TIMES: f64 = 4.0;
+/// Length from which silence is suspect, as a multiple of the upstream's processing time.
+const SUSPECT_PROCESSING_TIMES: f64 = 4.0;
 
-/// Silence of one upstream.
+/// Time since the last response of an upstream with requests in flight.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Silence {
     since: Option<Instant>,
 }
 
 impl Silence {
-    /// Records a send; `in_flight` excludes it.
+    /// Records that a request is sent; `in_flight` excludes it.
     pub fn sent(&mut self, in_flight: u32, now: Instant) {
         if in_flight == 0 {
             self.since = Some(now);
         }
     }
 
-    /// Records an answer; `in_flight` excludes its request.
+    /// Records a response; `in_flight` excludes its request.
     pub fn answered(&mut self, in_flight: u32, now: Instant) {
         self.since = (in_flight > 0).then_some(now);
     }
 
-    /// Records a try that ended without an answer; `in_flight` excludes it.
+    /// Records an attempt that ended without a response; `in_flight` excludes it.
     pub fn ended(&mut self, in_flight: u32) {
         if in_flight == 0 {
             self.since = None;
         }
     }
 
-    /// Returns whether it has lasted too long for an upstream with this `work` time.
+    /// Returns whether the silence is too long for an upstream with processing time `work`.
     #[must_use]
     pub fn is_suspect(&self, work: seconds::Seconds, now: Instant) -> bool {
         let Some(since) = self.since else { return false };
-        let bound = (work.0 * WORK_TIMES).max(SHORTEST.as_secs_f64());
-        now.saturating_duration_since(since).as_secs_f64() > bound
+        let limit = (work.0 * SUSPECT_PROCESSING_TIMES).max(MIN_SUSPECT_SILENCE.as_secs_f64());
+        now.saturating_duration_since(since).as_secs_f64() > limit
     }
 }
--- a/crates/steer/src/dispatch/slow_start.rs
+++ b/crates/steer/src/dispatch/slow_start.rs
@@ -1,7 +1,8 @@
-//! Slow start: limits what a cold upstream is sent, to less than the rate that it bears.
+//! Slow start: limits the request rate to a cold upstream.
 //!
-//! Owns the token bucket of one upstream. Relies on the service's `cold_rate` and on what discovery lists
-//! as the rest of the cold time; [`slow_start_owner`] names the one node that may send at all.
+//! Each cold upstream has a token bucket with the service's `cold_rate`, for the remaining cold
+//! time that service discovery lists. [`slow_start_owner`] determines the only node that may send
+//! to it.
 //!
 //! [`slow_start_owner`]: crate::dispatch::slow_start_owner
 
@@ -10,47 +11,47 @@
 use model::id;
 use model::routing;
 
-/// Part of the service's cold rate that is used.
+/// Share of the service's cold rate that is used.
 ///
-/// The margin is for short times in which two nodes both take themselves for the owner.
+/// The margin covers short periods in which two nodes both consider themselves the owner.
 const USED_SHARE: f64 = 0.75;
 
-/// Largest burst, in requests.
+/// Capacity of the token bucket, in requests.
 const BURST_REQUESTS: f64 = 2.0;
 
-/// Time for which an upstream counts as cold beyond its listed cold time.
+/// Time for which an upstream is treated as cold beyond its listed cold time.
 ///
-/// Covers the delay between the writing of the entry and its arrival here.
-const MARGIN: Duration = Duration::from_millis(300);
+/// Covers the delay until the discovery entry reaches this node.
+const COLD_TIME_MARGIN: Duration = Duration::from_millis(300);
 
-/// Returns the requests a second that a cold upstream of `service` bears; none when it has no limit.
+/// Returns the maximum requests per second of a cold upstream of `service`, or `None` if unlimited.
 #[must_use]
 pub fn rate(routing: &routing::Routing, service: &id::Service) -> Option<f64> {
     routing.services.get(service).and_then(|rules| rules.cold_rate)
 }
 
-/// Limits what a cold upstream is sent.
+/// Rate limiter for a cold upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Limiter {
     until: Option<Instant>,
     tokens: f64,
-    filled: Instant,
+    updated: Instant,
 }
 
 impl Limiter {
-    /// Starts warm.
+    /// Creates the limiter of a warm upstream, with a full bucket.
     #[must_use]
     pub fn new(now: Instant) -> Self {
-        Self { until: None, tokens: BURST_REQUESTS, filled: now }
+        Self { until: None, tokens: BURST_REQUESTS, updated: now }
     }
 
-    /// Makes the upstream cold for at least `time` from `now`; zero changes nothing.
+    /// Marks the upstream as cold for at least `time` from `now`; zero changes nothing.
     pub fn set_cold(&mut self, time: Duration, now: Instant) {
         if time.is_zero() {
             return;
         }
-        let until = now + time + MARGIN;
-        self.until = Some(self.until.map_or(until, |before| before.max(until)));
+        let until = now + time + COLD_TIME_MARGIN;
+        self.until = Some(self.until.map_or(until, |previous| previous.max(until)));
     }
 
     /// Returns whether the upstream is cold.
@@ -59,20 +60,20 @@
         self.until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether one more request may be sent at `rate` a second.
+    /// Returns whether the bucket holds a token, at `rate` requests per second.
     #[must_use]
     pub fn has_room(&self, rate: f64, now: Instant) -> bool {
-        self.tokens_at(rate, now) >= 1.0
+        self.available_tokens(rate, now) >= 1.0
     }
 
-    /// Takes a token, for one request at `rate` a second.
+    /// Takes one token, at `rate` requests per second.
     pub fn take(&mut self, rate: f64, now: Instant) {
-        self.tokens = (self.tokens_at(rate, now) - 1.0).max(0.0);
-        self.filled = now;
+        self.tokens = (self.available_tokens(rate, now) - 1.0).max(0.0);
+        self.updated = now;
     }
 
-    fn tokens_at(&self, rate: f64, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.filled).as_secs_f64();
+    fn available_tokens(&self, rate: f64, now: Instant) -> f64 {
+        let age = now.saturating_duration_since(self.updated).as_secs_f64();
         (self.tokens + age * rate * USED_SHARE).min(BURST_REQUESTS)
     }
 }
--- a/crates/steer/src/dispatch/slow_start_owner.rs
+++ b/crates/steer/src/dispatch/slow_start_owner.rs
@@ -1,27 +1,27 @@
-//! Slow start owner: the one node that may send to a cold upstream.
+//! Slow start owner: the only node that may send to a cold upstream.
 //!
-//! Owns the list of nodes. Rendezvous hashing lets nodes agree without messages. The owner is a node of
-//! the upstream's region, so that only the nodes of one region need to agree; where a region has no node,
-//! the listed nodes of all regions share its upstreams.
+//! Rendezvous hashing lets the nodes agree without messages. The owner is a node of the upstream's
+//! region, so that only the nodes of one region need to agree. The upstreams of a region without
+//! nodes are distributed over the listed nodes of all regions.
 
 use std::collections;
 
 use model::id;
 use xxhash_rust::xxh3;
 
-/// The nodes among which cold upstreams are shared out.
+/// The nodes over which cold upstreams are distributed.
 #[derive(Clone, Debug, Default)]
 pub struct Owners {
-    /// Living nodes of this node's region, itself included.
+    /// Live nodes of this node's region, including itself.
     pub near: Vec<id::Node>,
-    /// Nodes that are listed, by region.
+    /// Listed nodes, by region.
     pub listed: collections::BTreeMap<id::Region, Vec<id::Node>>,
 }
 
 impl Owners {
-    /// Returns the owner of cold `upstream` of `region`, as a node of region `own` sees it.
+    /// Returns the owner of cold `upstream` in `region`, as computed by a node of region `own`.
     ///
-    /// None when the owner is a node of another region.
+    /// Returns `None` if the owner is a node of another region.
     #[must_use]
     pub fn of(
         &self,
--- a/crates/steer/src/dispatch/stop.rs
+++ b/crates/steer/src/dispatch/stop.rs
@@ -1,58 +1,60 @@
-//! Planned stop: when a node that stops closes callers' connections, and when it ends.
+//! Planned stop: when a stopping node closes its callers' connections and exits.
 //!
-//! A stopping node is named by look-ups no more, but serves the callers that still hold an older answer.
-//! Then it closes resting connections, and it ends once nothing is open, or shortly before the kill.
+//! Look-ups no longer return a stopping node, but it continues to serve callers with an older
+//! look-up result. Afterwards it closes idle connections. It exits once nothing is open, or shortly
+//! before it would be killed.
 
 use std::time::Duration;
 
-/// Time for which callers with an older look-up may still come.
+/// Time during which callers with an older look-up result may still connect.
 ///
-/// Not measured; three times the longest life of a look-up (1 s), which some callers exceed, and a margin.
-const CALLERS_COME: Duration = Duration::from_millis(3_300);
+/// Three times the maximum lifetime of a look-up result (1 s), which some callers exceed, plus a
+/// margin.
+const LOOKUP_EXPIRY: Duration = Duration::from_millis(3_300);
 
-/// Time before the kill at which resting connections are closed. Not measured.
+/// Time before the kill at which idle connections are closed.
 const CLOSE_BEFORE_KILL: Duration = Duration::from_millis(1_500);
 
-/// Time before the kill at which the process ends whatever is open. Not measured.
-const END_BEFORE_KILL: Duration = Duration::from_millis(150);
+/// Time before the kill at which the process exits, even with open requests.
+const EXIT_BEFORE_KILL: Duration = Duration::from_millis(150);
 
-/// Time between two checks of what is open. Not measured.
+/// Interval at which open connections and requests are checked.
 pub const CHECK_PERIOD: Duration = Duration::from_millis(50);
 
-/// What callers have open at a node.
+/// Connections and requests that callers have open at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Open {
-    /// Connections.
+    /// Number of connections.
     pub connections: usize,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub requests: usize,
 }
 
-/// What a stopping node does next.
+/// Next step of a stopping node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Serve on.
+    /// Continue to serve requests.
     Serve,
-    /// Close each connection after its request; resting ones at once.
+    /// Close each connection after its current request, and idle ones at once.
     Close,
-    /// End the process; `is_done` when every request has ended.
+    /// Exit the process.
     End {
         /// Whether every request has ended.
         is_done: bool,
     },
 }
 
-/// Returns what a node does `elapsed` after the stop began, with `grace` from there to the kill.
+/// Returns the step at `elapsed` after the start of the stop, when the kill follows at `grace`.
 #[must_use]
 pub fn step(elapsed: Duration, grace: Duration, open: Open) -> Step {
-    let may_callers_come = elapsed < CALLERS_COME;
+    let may_callers_connect = elapsed < LOOKUP_EXPIRY;
     match open {
-        Open { connections: 0, .. } if !may_callers_come => Step::End { is_done: true },
-        _ if elapsed >= grace.saturating_sub(END_BEFORE_KILL) => {
+        Open { connections: 0, .. } if !may_callers_connect => Step::End { is_done: true },
+        _ if elapsed >= grace.saturating_sub(EXIT_BEFORE_KILL) => {
             Step::End { is_done: open.requests == 0 }
         }
         _ if elapsed >= grace.saturating_sub(CLOSE_BEFORE_KILL) => Step::Close,
-        Open { requests: 0, .. } if !may_callers_come => Step::Close,
+        Open { requests: 0, .. } if !may_callers_connect => Step::Close,
         _ => Step::Serve,
     }
 }
--- a/crates/steer/src/dispatch/tried.rs
+++ b/crates/steer/src/dispatch/tried.rs
@@ -1,6 +1,6 @@
-//! Tried: how the tries of one request ended, as [`retry`] and log lines see it.
+//! Results of the attempts of one request, for [`retry`] and for log lines.
 //!
-//! Owns the text of the log key `tries`. Relies on nothing.
+//! Defines the text of the log key `tries`.
 //!
 //! [`retry`]: crate::dispatch::retry
 
@@ -8,34 +8,34 @@
 
 use model::id;
 
-/// What came of a try before the request's deadline.
+/// Result of an attempt that ended before the request's deadline.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The upstream answered with this status.
+    /// The upstream responded with this status.
     Answered(u16),
-    /// The upstream refused the request and has not run it.
+    /// The upstream refused the request and did not execute it.
     TurnedAway,
-    /// Another upstream answers at its address; the request has not run.
+    /// Another upstream responded at its address; the request was not executed.
     Replaced,
-    /// Nothing was sent, with the cause.
+    /// Nothing was sent, for this cause.
     NotSent(String),
-    /// The request was sent and may have run, with the cause.
+    /// The request was sent and may have been executed; the response failed for this cause.
     Broken(String),
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
     /// With this outcome, before the deadline.
     Outcome(Outcome),
-    /// The deadline passed while the connection was opened.
+    /// The deadline passed while a connection was being opened.
     NoConnection,
-    /// The deadline passed while the answer was awaited.
+    /// The deadline passed while waiting for the response.
     NoAnswer,
 }
 
 impl fmt::Display for End {
-    /// Writes the end as the log key `tries` holds it.
+    /// Writes the text for the log key `tries`.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Outcome(Outcome::Answered(status)) => write!(formatter, "{status}"),
@@ -50,7 +50,7 @@
     }
 }
 
-/// A try that ended.
+/// An attempt that ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Try {
     /// The upstream.
--- a/crates/steer/src/dispatch/work_time.rs
+++ b/crates/steer/src/dispatch/work_time.rs
@@ -1,8 +1,9 @@
-//! Work time of one upstream, as a multiple of what its service needs.
+//! Processing time of one upstream, relative to the usual one of its service.
 //!
-//! Owns the estimate of one upstream. Relies on [`expected_work`] for what the service needs, which differs with
-//! what the upstream knows of the object: a multiple of it is not disturbed by objects that are new to the
-//! upstream. A slow upstream becomes more expensive for [`selection`], and is tried again as the estimate fades.
+//! [`expected_work`] estimates the usual processing time, which depends on whether the upstream has
+//! seen the object. Because the estimate here is a ratio, it is not distorted by objects that are new
+//! to the upstream. A slow upstream becomes more expensive in [`selection`], and is tried again as the
+//! estimate decays.
 //!
 //! [`expected_work`]: crate::dispatch::expected_work
 //! [`selection`]: crate::dispatch::selection
@@ -11,40 +12,40 @@
 
 use crate::dispatch::seconds;
 
-/// Weight of one answer in the estimate. Not measured.
-const ANSWER_WEIGHT: f64 = 0.2;
+/// Weight of one response in the estimate.
+const RESPONSE_WEIGHT: f64 = 0.2;
 
-/// Time in which the estimate loses most of its difference from what the service needs.
+/// Time constant with which the estimate decays to 1.
 ///
-/// Not measured alone: docs/measurements/platform.md, row "failures and silence fade", has it.
-const MEMORY: Duration = Duration::from_secs(4);
+/// Results with this value: docs/measurements/platform.md, row "failures and silence fade".
+const DECAY_TIME: Duration = Duration::from_secs(4);
 
-/// How long one upstream works on a request, as a multiple of what its service needs.
+/// Ratio of one upstream's processing time to the usual one of its service.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkTime {
-    multiple: f64,
-    measured: Instant,
+    ratio: f64,
+    updated: Instant,
 }
 
 impl WorkTime {
-    /// Starts at what the service needs.
+    /// Creates an estimate of 1.
     #[must_use]
     pub fn new(now: Instant) -> Self {
-        Self { multiple: 1.0, measured: now }
+        Self { ratio: 1.0, updated: now }
     }
 
-    /// Records an answer after `work` without waiting, where its service needs `expected`.
+    /// Records a response with processing time `work`, where the service usually needs `expected`.
     pub fn record(&mut self, work: seconds::Seconds, expected: seconds::Seconds, now: Instant) {
         if expected.0 <= 0.0 {
             return;
         }
-        let multiple = work.0 / expected.0;
-        let before = self.get(now);
-        self.multiple = before + (multiple - before) * ANSWER_WEIGHT;
-        self.measured = now;
+        let ratio = work.0 / expected.0;
+        let previous = self.get(now);
+        self.ratio = previous + (ratio - previous) * RESPONSE_WEIGHT;
+        self.updated = now;
     }
 
-    /// Records that an answer took longer than `waited`; less than the estimate proves nothing.
+    /// Records that a response took longer than `waited`; ignored if this is below the estimate.
     pub fn record_at_least(&mut self, waited: Duration, expected: seconds::Seconds, now: Instant) {
         let waited = seconds::Seconds::from(waited);
         if waited.0 > expected.0 * self.get(now) {
@@ -52,11 +53,11 @@
         }
     }
 
-    /// Returns the estimate.
+    /// Returns the decayed ratio at `now`.
     #[must_use]
     pub fn get(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.measured).as_secs_f64();
-        let fading = (-age / MEMORY.as_secs_f64()).exp();
-        1.0 + (self.multiple - 1.0) * fading
+        let age = now.saturating_duration_since(self.updated).as_secs_f64();
+        let decay = (-age / DECAY_TIME.as_secs_f64()).exp();
+        1.0 + (self.ratio - 1.0) * decay
     }
 }
