--- a/crates/steer/src/common/mod.rs
+++ b/crates/steer/src/common/mod.rs
@@ -1,4 +1,4 @@
-//! Rules that both roles use: splits of traffic over regions, the limiter that moves them, rotations.
+//! Shared by both roles: traffic splits over regions, the limiter that moves them, and round robin.
 
 pub mod ramp;
 pub mod round_robin;
--- a/crates/steer/src/common/ramp.rs
+++ b/crates/steer/src/common/ramp.rs
@@ -1,7 +1,7 @@
-//! Ramp: moves a split toward its target, never faster than a limit.
+//! Ramp: moves a traffic split toward its target, limited by a maximum rate of change.
 //!
-//! Owns the position of one split and its moves within the window. Relies on [`split`] for the steps. Moves
-//! are spread over the window, so that a region that receives more warms up on the way.
+//! Keeps the position of one split and its moves within the window; [`split`] computes the steps.
+//! Moves are spread over the window, so that a region that receives more traffic can warm up.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -11,27 +11,27 @@
 
 use crate::common::split;
 
-/// Part of the limit that is used, in percent.
+/// Share of the limit that is used, in percent.
 ///
-/// Not measured; the margin is for rounding and for the grain of single requests.
+/// The margin allows for rounding and for the granularity of single requests.
 const USED_PERCENT: u32 = 95;
 
-/// Longest time since the last move whose pace one step may use.
+/// Maximum time since the last move that counts toward one step.
 ///
-/// Not measured; bounds the step after a pause.
-const PACE: Duration = Duration::from_secs(1);
+/// Bounds the step after a pause.
+const MAX_STEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Limit of a ramp: at most `share` moves within any `window`.
+/// Limit of a ramp: at most `share` of the traffic moves within any `window`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
-    /// The greatest share.
+    /// Maximum share that may move.
     pub share: fraction::Fraction,
-    /// The window's length.
+    /// Length of the window.
     pub window: Duration,
 }
 
 impl Limit {
-    /// Returns the limit of `cap`, or of its part for a lost region.
+    /// Returns the limit of `cap`; for a lost region, its separate limit if it has one.
     #[must_use]
     pub fn of(cap: &cap::Cap, is_lost: bool) -> Self {
         let share = match cap.lost_share {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The position of one split, and its latest moves.
+/// The current position of one split, and its moves within the window.
 #[derive(Clone, Debug, Default)]
 pub struct Limiter {
     position: split::Split,
@@ -50,13 +50,13 @@
 }
 
 impl Limiter {
-    /// Starts at `position`, without history.
+    /// Creates a limiter at `position`, without previous moves.
     #[must_use]
     pub fn new(position: split::Split) -> Self {
         Self { position, moves: collections::VecDeque::new() }
     }
 
-    /// Returns where the split stands.
+    /// Returns the current split.
     #[must_use]
     pub fn position(&self) -> &split::Split {
         &self.position
@@ -64,14 +64,14 @@
 
     /// Moves toward `target` as far as `limit` allows at `now`; returns the share that moved.
     ///
-    /// Without a limit the split moves at once.
+    /// Without a limit, the split moves to `target` at once.
     pub fn advance(
         &mut self,
         target: &split::Split,
         limit: Option<Limit>,
         now: Instant,
     ) -> fraction::Fraction {
-        let step = limit.map_or(fraction::Fraction::ONE, |limit| self.allowance(limit, now));
+        let step = limit.map_or(fraction::Fraction::ONE, |limit| self.allowed_step(limit, now));
         let next = self.position.toward(target, step);
         let moved = self.position.distance(&next);
         if moved.0 > 0 {
@@ -81,20 +81,25 @@
         moved
     }
 
-    /// Returns how much may move now.
+    /// Returns the share that may move now.
     ///
-    /// Moves are spread over the window, so that a receiving region warms up on the way.
-    fn allowance(&mut self, limit: Limit, now: Instant) -> fraction::Fraction {
+    /// This is the lower of what is left in the window and what is due since the last move at an
+    /// even rate.
+    fn allowed_step(&mut self, limit: Limit, now: Instant) -> fraction::Fraction {
         let window_start = now.checked_sub(limit.window);
         self.moves.retain(|(at, _)| window_start.is_none_or(|start| *at >= start));
         let moved: u32 = self.moves.iter().map(|(_, share)| share).sum();
-        let most = limit.share.0 / 100 * USED_PERCENT;
-        let left = most.saturating_sub(moved);
-        let since =
-            self.moves.back().map_or(PACE, |(at, _)| now.saturating_duration_since(*at)).min(PACE);
-        let pace = u64::from(most) * duration_micros(since) / duration_micros(limit.window).max(1);
-        let pace = u32::try_from(pace).unwrap_or(u32::MAX);
-        fraction::Fraction(left.min(pace))
+        let max_moved = limit.share.0 / 100 * USED_PERCENT;
+        let remaining = max_moved.saturating_sub(moved);
+        let elapsed = self
+            .moves
+            .back()
+            .map_or(MAX_STEP_INTERVAL, |(at, _)| now.saturating_duration_since(*at))
+            .min(MAX_STEP_INTERVAL);
+        let due =
+            u64::from(max_moved) * duration_micros(elapsed) / duration_micros(limit.window).max(1);
+        let due = u32::try_from(due).unwrap_or(u32::MAX);
+        fraction::Fraction(remaining.min(due))
     }
 }
 
--- a/crates/steer/src/common/round_robin.rs
+++ b/crates/steer/src/common/round_robin.rs
@@ -1,6 +1,8 @@
-//! Smooth weighted round robin: each choice is taken in its share, exact within one request.
+//! Smooth weighted round robin: selects each choice in proportion to its weight, within one
+//! request.
 //!
-//! Owns the credit of each choice: the turns that its weight earned, less those that it took.
+//! The credit of a choice is the number of turns due by its weight, minus the number of turns
+//! taken.
 
 use std::collections;
 use std::hash;
@@ -18,31 +20,32 @@
 }
 
 impl<K: Clone + Ord + hash::Hash> RoundRobin<K> {
-    /// Takes the first of `wanted` that is at most `lead` turns ahead of its share.
+    /// Selects the first of `preferred` that stays at most `lead` turns ahead of its share.
     ///
-    /// Without one, takes the choice that is furthest behind. So requests that should go alike do, and
-    /// shares still hold within `lead`. None when no weight is above zero.
-    pub fn prefer(&mut self, weights: &[(K, f64)], wanted: &[K], lead: f64) -> Option<K> {
-        self.earn(weights)?;
+    /// If there is none, selects the choice that is furthest behind its share. Related requests
+    /// thus get the same choice, while shares are exact within `lead` turns. Returns `None` if no
+    /// weight is above zero.
+    pub fn prefer(&mut self, weights: &[(K, f64)], preferred: &[K], lead: f64) -> Option<K> {
+        self.add_turn(weights)?;
         let has_room = |key: &&K| self.credit.get(*key).is_some_and(|c| *c - 1.0 >= -lead);
-        let taken = match wanted.iter().find(has_room) {
+        let selected = match preferred.iter().find(has_room) {
             Some(key) => key.clone(),
-            None => self.furthest(weights)?,
+            None => self.most_due(weights)?,
         };
-        self.spend(&taken);
-        Some(taken)
+        self.take_turn(&selected);
+        Some(selected)
     }
 
-    /// Takes the next of `weights`; none when no weight is above zero.
+    /// Selects the next choice; returns `None` if no weight is above zero.
     pub fn next(&mut self, weights: &[(K, f64)]) -> Option<K> {
-        self.earn(weights)?;
-        let taken = self.furthest(weights)?;
-        self.spend(&taken);
-        Some(taken)
+        self.add_turn(weights)?;
+        let selected = self.most_due(weights)?;
+        self.take_turn(&selected);
+        Some(selected)
     }
 
-    /// Adds one turn, in proportion to the weights; none when no weight is above zero.
-    fn earn(&mut self, weights: &[(K, f64)]) -> Option<()> {
+    /// Distributes the credit of one turn by weight; returns `None` if no weight is above zero.
+    fn add_turn(&mut self, weights: &[(K, f64)]) -> Option<()> {
         let total: f64 = weights.iter().map(|(_, w)| w.max(0.0)).sum();
         if total <= 0.0 {
             return None;
@@ -55,18 +58,19 @@
     }
 
     /// Returns the choice that is furthest behind its share.
-    fn furthest(&self, weights: &[(K, f64)]) -> Option<K> {
+    fn most_due(&self, weights: &[(K, f64)]) -> Option<K> {
         let mut best: Option<(&K, f64)> = None;
         for (key, weight) in weights {
             let credit = self.credit.get(key).copied().unwrap_or_default();
-            if *weight > 0.0 && best.is_none_or(|(_, most)| credit > most) {
+            if *weight > 0.0 && best.is_none_or(|(_, max)| credit > max) {
                 best = Some((key, credit));
             }
         }
         best.map(|(key, _)| key.clone())
     }
 
-    fn spend(&mut self, key: &K) {
+    /// Subtracts one turn from the credit of `key`.
+    fn take_turn(&mut self, key: &K) {
         if let Some(credit) = self.credit.get_mut(key) {
             *credit -= 1.0;
         }
--- a/crates/steer/src/common/split.rs
+++ b/crates/steer/src/common/split.rs
@@ -1,6 +1,6 @@
-//! Split: which share of the requests for a service goes to which region.
+//! Split: distribution of the requests for a service over regions.
 //!
-//! Owns shares in millionths, which add up to one whole. Relies on nothing; [`ramp`] moves splits.
+//! Shares are in millionths and add up to one whole; [`ramp`] moves splits gradually.
 //!
 //! [`ramp`]: crate::common::ramp
 
@@ -9,14 +9,14 @@
 use model::fraction;
 use model::id;
 
-/// Shares by region; they add up to one whole, or the split is empty.
+/// Shares by region, which add up to one whole; may be empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Split {
     parts: collections::BTreeMap<id::Region, u32>,
 }
 
 impl Split {
-    /// Makes a split in proportion to `weights`; empty when all are zero.
+    /// Creates a split in proportion to `weights`; empty if none is above zero.
     #[must_use]
     pub fn new(weights: &[(id::Region, f64)]) -> Self {
         let total: f64 = weights.iter().map(|(_, w)| w.max(0.0)).sum();
@@ -25,21 +25,21 @@
         }
         let mut parts = collections::BTreeMap::new();
         for (region, weight) in weights {
-            *parts.entry(region.clone()).or_insert(0) += scale(weight.max(0.0) / total);
+            *parts.entry(region.clone()).or_insert(0) += to_millionths(weight.max(0.0) / total);
         }
-        Self::balanced(parts)
+        Self::with_exact_total(parts)
     }
 
-    /// Makes a split of parts in millionths, as messages carry them.
+    /// Creates a split from parts in millionths, as in messages between nodes.
     #[must_use]
     pub fn from_parts(parts: collections::BTreeMap<id::Region, u32>) -> Self {
         match parts.values().any(|p| *p > 0) {
-            true => Self::balanced(parts),
+            true => Self::with_exact_total(parts),
             false => Self::default(),
         }
     }
 
-    /// Returns whether it sends requests nowhere.
+    /// Returns whether no region receives requests.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.parts.is_empty()
@@ -51,60 +51,60 @@
         self.parts.get(region).copied().unwrap_or(0)
     }
 
-    /// Returns the shares that are not zero.
+    /// Returns the nonzero shares, in millionths.
     pub fn parts(&self) -> impl Iterator<Item = (&id::Region, u32)> {
         self.parts.iter().map(|(region, part)| (region, *part))
     }
 
-    /// Returns how far two splits lie apart: the share of requests that change region.
+    /// Returns the distance between two splits: the share of requests that change region.
     #[must_use]
     pub fn distance(&self, other: &Self) -> fraction::Fraction {
         let lost = self.parts().map(|(r, p)| p.saturating_sub(other.share(r))).sum();
-        let won = other.parts().map(|(r, p)| p.saturating_sub(self.share(r))).sum();
-        fraction::Fraction(u32::max(lost, won))
+        let gained = other.parts().map(|(r, p)| p.saturating_sub(self.share(r))).sum();
+        fraction::Fraction(u32::max(lost, gained))
     }
 
-    /// Returns the split that lies `step` from this one, on the straight way to `target`.
+    /// Returns the split at distance `step` from this one, by linear interpolation to `target`.
     ///
-    /// Rounding never makes the step longer.
+    /// Rounding never makes the distance greater than `step`.
     #[must_use]
     pub fn toward(&self, target: &Self, step: fraction::Fraction) -> Self {
-        let whole = self.distance(target);
-        if whole <= step {
+        let distance = self.distance(target);
+        if distance <= step {
             return target.clone();
         }
         let mut parts = self.parts.clone();
         let mut freed = 0;
         for (region, part) in &mut parts {
             let surplus = part.saturating_sub(target.share(region));
-            let cut = scale_down(surplus, step, whole);
-            *part -= cut;
-            freed += cut;
+            let reduction = interpolate(surplus, step, distance);
+            *part -= reduction;
+            freed += reduction;
         }
-        let wanting: Vec<(id::Region, u32)> = target
+        let deficits: Vec<(id::Region, u32)> = target
             .parts()
             .map(|(r, p)| (r.clone(), p.saturating_sub(self.share(r))))
             .filter(|(_, p)| *p > 0)
             .collect();
-        let mut left = freed;
-        for (region, want) in &wanting {
-            let gain = scale_down(*want, fraction::Fraction(freed), whole).min(left);
+        let mut remaining = freed;
+        for (region, deficit) in &deficits {
+            let gain = interpolate(*deficit, fraction::Fraction(freed), distance).min(remaining);
             *parts.entry(region.clone()).or_insert(0) += gain;
-            left -= gain;
+            remaining -= gain;
         }
-        if let Some((region, _)) = wanting.first() {
-            *parts.entry(region.clone()).or_insert(0) += left;
+        if let Some((region, _)) = deficits.first() {
+            *parts.entry(region.clone()).or_insert(0) += remaining;
         }
         parts.retain(|_, part| *part > 0);
         Self { parts }
     }
 
-    /// Adds what rounding left over to the largest part.
-    fn balanced(mut parts: collections::BTreeMap<id::Region, u32>) -> Self {
+    /// Adds the rounding remainder to the largest part.
+    fn with_exact_total(mut parts: collections::BTreeMap<id::Region, u32>) -> Self {
         parts.retain(|_, part| *part > 0);
         let total: u32 = parts.values().sum();
-        let greatest = parts.iter().max_by_key(|(_, part)| **part).map(|(r, _)| r.clone());
-        if let Some(part) = greatest.and_then(|region| parts.get_mut(&region)) {
+        let largest = parts.iter().max_by_key(|(_, part)| **part).map(|(r, _)| r.clone());
+        if let Some(part) = largest.and_then(|region| parts.get_mut(&region)) {
             *part = (*part + fraction::WHOLE).saturating_sub(total);
         }
         Self { parts }
@@ -116,11 +116,12 @@
     clippy::cast_sign_loss,
     reason = "a proportion from 0 to 1 times a million"
 )]
-fn scale(proportion: f64) -> u32 {
+fn to_millionths(proportion: f64) -> u32 {
     (proportion * f64::from(fraction::WHOLE)).floor() as u32
 }
 
-fn scale_down(part: u32, step: fraction::Fraction, whole: fraction::Fraction) -> u32 {
-    let exact = u64::from(part) * u64::from(step.0) / u64::from(whole.0.max(1));
+/// Returns the portion `step / distance` of `part`, rounded down.
+fn interpolate(part: u32, step: fraction::Fraction, distance: fraction::Fraction) -> u32 {
+    let exact = u64::from(part) * u64::from(step.0) / u64::from(distance.0.max(1));
     u32::try_from(exact).unwrap_or(part)
 }
--- a/crates/steer/src/lib.rs
+++ b/crates/steer/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions: which region and which upstream take a request, and when it is held or refused.
+//! Decision logic: which region and upstream take a request, and when a request waits or is
+//! refused.
 //!
-//! A folder for each role of a process, and one for what both use. Nothing here performs input or
-//! output, reads a clock, takes a lock or draws a random number: an event and a time go in, what to
-//! do comes out.
+//! One module per process role, and one for the code that both roles share. This crate performs no
+//! I/O, reads no clock, takes no locks and draws no random numbers: events and times are passed in,
+//! and decisions are returned.
 
 pub mod common;
 pub mod dispatch;
