--- a/crates/steer/tests/execution.rs
+++ b/crates/steer/tests/execution.rs
@@ -1,11 +1,11 @@
-//! What an upstream's answer proves about the request.
+//! Checks what a response head proves about the execution of its request.
 
 use model::head;
 use model::statement;
 use steer::dispatch::execution::{Execution, Fault, Requirements, execution, fault};
 
-const STRICT: Requirements = Requirements { request_id: true, seal: true };
-const LAX: Requirements = Requirements { request_id: false, seal: false };
+const ALL_REQUIRED: Requirements = Requirements { request_id: true, seal: true };
+const NONE_REQUIRED: Requirements = Requirements { request_id: false, seal: false };
 
 fn answer(status: u16) -> head::Answer<'static> {
     let request_id = Some("id");
@@ -19,17 +19,17 @@
 }
 
 #[test]
-fn a_statement_counts_with_any_refusal_but_not_with_a_success() {
+fn not_run_statement_is_valid_for_any_error_status_but_not_for_a_success() {
     for status in [400, 404, 408, 429, 500, 502, 503] {
-        let stated = head::Answer { states_not_run: true, ..answer(status) };
-        assert_eq!(execution(&stated), Execution::NotRun, "{status}");
+        let with_statement = head::Answer { states_not_run: true, ..answer(status) };
+        assert_eq!(execution(&with_statement), Execution::NotRun, "{status}");
     }
-    let stated = head::Answer { states_not_run: true, ..answer(204) };
-    assert_eq!(execution(&stated), Execution::Ran);
+    let with_statement = head::Answer { states_not_run: true, ..answer(204) };
+    assert_eq!(execution(&with_statement), Execution::Ran);
 }
 
 #[test]
-fn a_status_that_promises_proves_nothing_by_itself() {
+fn refusal_status_without_a_statement_is_no_proof() {
     for status in [408, 429, 503] {
         assert_eq!(execution(&answer(status)), Execution::Unproved, "{status}");
     }
@@ -40,23 +40,23 @@
 }
 
 #[test]
-fn an_answer_to_another_request_is_a_fault_before_its_seal_is() {
-    let other = head::Answer { request_id: Some("other"), is_sealed: false, ..answer(200) };
-    assert_eq!(fault(&other, STRICT, "id"), Some(Fault::OtherRequest));
-    assert_eq!(fault(&other, LAX, "id"), Some(Fault::OtherRequest));
+fn other_request_id_takes_precedence_over_a_missing_seal() {
+    let other_request = head::Answer { request_id: Some("other"), is_sealed: false, ..answer(200) };
+    assert_eq!(fault(&other_request, ALL_REQUIRED, "id"), Some(Fault::OtherRequest));
+    assert_eq!(fault(&other_request, NONE_REQUIRED, "id"), Some(Fault::OtherRequest));
     let unsealed = head::Answer { is_sealed: false, ..answer(200) };
-    assert_eq!(fault(&unsealed, STRICT, "id"), Some(Fault::NoSeal));
-    assert_eq!(fault(&unsealed, LAX, "id"), None);
+    assert_eq!(fault(&unsealed, ALL_REQUIRED, "id"), Some(Fault::NoSeal));
+    assert_eq!(fault(&unsealed, NONE_REQUIRED, "id"), None);
     let refusal = head::Answer { is_sealed: false, ..answer(500) };
-    assert_eq!(fault(&refusal, STRICT, "id"), None);
+    assert_eq!(fault(&refusal, ALL_REQUIRED, "id"), None);
 }
 
 #[test]
-fn an_answer_without_a_name_suits_a_request_without_one() {
-    let unnamed = head::Answer { request_id: None, ..answer(200) };
-    assert_eq!(fault(&unnamed, STRICT, ""), None);
-    assert_eq!(fault(&unnamed, STRICT, "id"), Some(Fault::OtherRequest));
-    assert_eq!(fault(&unnamed, LAX, "id"), None);
-    let empty = head::Answer { request_id: Some(""), ..answer(200) };
-    assert_eq!(fault(&empty, STRICT, ""), None);
+fn response_without_id_is_valid_for_a_request_without_id() {
+    let without_id = head::Answer { request_id: None, ..answer(200) };
+    assert_eq!(fault(&without_id, ALL_REQUIRED, ""), None);
+    assert_eq!(fault(&without_id, ALL_REQUIRED, "id"), Some(Fault::OtherRequest));
+    assert_eq!(fault(&without_id, NONE_REQUIRED, "id"), None);
+    let empty_id = head::Answer { request_id: Some(""), ..answer(200) };
+    assert_eq!(fault(&empty_id, ALL_REQUIRED, ""), None);
 }
--- a/crates/steer/tests/retry.rs
+++ b/crates/steer/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retry: when a request is sent again, and with which reason it is given up.
+//! Checks when a request is sent again and with which reason it fails.
 
 use std::collections;
 use std::net;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Returns a dispatcher that knows `upstreams` idle ones.
+/// Returns a dispatcher with `upstreams` idle upstreams.
 fn dispatcher(upstreams: u8, now: Instant) -> dispatcher::Dispatcher {
     let position = position::Position {
         node: id::Node::new("n"),
@@ -49,7 +49,7 @@
     dispatcher
 }
 
-/// Chooses the next upstream of `progress`, and records that the request is sent to it.
+/// Selects the next upstream of `progress` and records that the request is sent to it.
 fn send(
     progress: &mut retry::Progress,
     dispatcher: &mut dispatcher::Dispatcher,
@@ -70,12 +70,12 @@
     choice
 }
 
-fn no_budget() -> bool {
-    panic!("the budget was asked")
+fn budget_not_used() -> bool {
+    panic!("the retry budget must not be used")
 }
 
 #[test]
-fn a_refused_request_goes_to_another_upstream_within_attempts_body_and_budget() {
+fn refused_request_is_retried_within_attempt_limit_body_and_budget() {
     let now = Instant::now();
     let route = route(route::Kind::NonIdempotent, 2);
     let turned_away = retry::Next::GiveUp(give_up::Reason::TurnedAway);
@@ -87,11 +87,11 @@
         assert_eq!(progress.end(outcome.clone(), true, || true), retry::Next::Retry);
         let second = send(&mut progress, &mut dispatcher, &route, now).expect("two are left");
         assert!(!second.is_first && second.upstream.id != first.upstream.id);
-        assert_eq!(progress.end(outcome.clone(), true, no_budget), turned_away);
+        assert_eq!(progress.end(outcome.clone(), true, budget_not_used), turned_away);
 
         let mut progress = retry::Progress::new(&route);
         let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
-        assert_eq!(progress.end(outcome.clone(), false, no_budget), turned_away);
+        assert_eq!(progress.end(outcome.clone(), false, budget_not_used), turned_away);
 
         let mut progress = retry::Progress::new(&route);
         let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_repeated_only_where_its_route_allows() {
+fn request_that_may_have_run_is_retried_only_on_repeatable_routes() {
     let now = Instant::now();
     let broken = || retry::Outcome::Broken("reset".to_owned());
     let may_have_run = give_up::Reason::MayHaveRun;
@@ -110,7 +110,10 @@
         let mut dispatcher = dispatcher(3, now);
         let mut progress = retry::Progress::new(&route);
         let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
-        assert_eq!(progress.end(broken(), true, no_budget), retry::Next::GiveUp(may_have_run));
+        assert_eq!(
+            progress.end(broken(), true, budget_not_used),
+            retry::Next::GiveUp(may_have_run)
+        );
     }
     let route = route(route::Kind::Idempotent, 3);
     let mut dispatcher = dispatcher(2, now);
@@ -119,24 +122,25 @@
     assert_eq!(progress.end(broken(), true, || true), retry::Next::Retry);
     let _ = send(&mut progress, &mut dispatcher, &route, now).expect("one is left");
     assert_eq!(progress.end(retry::Outcome::Replaced, true, || true), retry::Next::Retry);
-    // No upstream is left, but the first may have run it, so nothing is promised to the caller.
-    let given_up = send(&mut progress, &mut dispatcher, &route, now).expect_err("none is left");
-    assert_eq!(given_up, may_have_run);
-    assert!(!given_up.is_proved_not_run() && given_up.retry_after().is_none());
+    // No upstream is left, but the first may have executed the request, so the caller is not told
+    // to retry it.
+    let reason = send(&mut progress, &mut dispatcher, &route, now).expect_err("none is left");
+    assert_eq!(reason, may_have_run);
+    assert!(!reason.is_proved_not_run() && reason.retry_after().is_none());
     assert!(progress.refusal().is_some());
 }
 
 #[test]
-fn connections_that_fail_cost_no_retry_and_the_sixth_ends_the_request() {
+fn failed_connections_use_no_retry_and_the_sixth_fails_the_request() {
     let now = Instant::now();
     let route = route(route::Kind::NonIdempotent, 1);
     let mut dispatcher = dispatcher(8, now);
     let mut progress = retry::Progress::new(&route);
     let mut next = retry::Next::TryAnother;
-    for turn in 1..=6 {
-        assert_eq!(next, retry::Next::TryAnother, "{turn}");
+    for attempt in 1..=6 {
+        assert_eq!(next, retry::Next::TryAnother, "{attempt}");
         let _ = send(&mut progress, &mut dispatcher, &route, now).expect("some are left");
-        next = progress.end(retry::Outcome::NotSent("refused".to_owned()), true, no_budget);
+        next = progress.end(retry::Outcome::NotSent("refused".to_owned()), true, budget_not_used);
     }
     assert_eq!(next, retry::Next::GiveUp(give_up::Reason::Unreachable));
     let ends: Vec<String> = progress.ended().iter().map(|t| t.end.to_string()).collect();
@@ -144,7 +148,7 @@
 }
 
 #[test]
-fn the_deadline_says_whether_the_request_was_sent() {
+fn deadline_reason_depends_on_whether_the_request_was_sent() {
     let now = Instant::now();
     let route = route(route::Kind::Idempotent, 2);
     let ends = |progress: &retry::Progress| -> Vec<String> {
@@ -167,20 +171,20 @@
     let _ = progress.end(retry::Outcome::Broken("reset".to_owned()), true, || true);
     let _ = send(&mut progress, &mut dispatcher, &route, now).expect("one is left");
     progress.connecting();
-    // The second try was not sent, but the first may have run.
+    // The second attempt was not sent, but the first may have been executed.
     assert_eq!(progress.expire(), give_up::Reason::TimedOut);
     assert_eq!(ends(&progress), ["reset", "no-connection"]);
 }
 
 #[test]
-fn a_body_that_cannot_be_sent_again_is_not_sent_empty_to_another_upstream() {
+fn consumed_body_is_not_sent_empty_to_another_upstream() {
     let now = Instant::now();
     let route = route(route::Kind::Upload, 3);
     let mut dispatcher = dispatcher(3, now);
     let mut progress = retry::Progress::new(&route);
     send(&mut progress, &mut dispatcher, &route, now).expect("an upstream is chosen");
     let not_sent = retry::Outcome::NotSent("connection closed".to_owned());
-    let next = progress.end(not_sent, false, no_budget);
+    let next = progress.end(not_sent, false, budget_not_used);
     assert_eq!(next, retry::Next::GiveUp(give_up::Reason::Unreachable));
     assert!(give_up::Reason::Unreachable.is_proved_not_run());
 }
