--- a/crates/wire/src/gateway/extract.rs
+++ b/crates/wire/src/gateway/extract.rs
@@ -1,16 +1,16 @@
-//! Extracts: what one gateway's copy of the store has that another's lacks, as JSON.
+//! Extracts: items of one gateway's copy of the store that another gateway's copy lacks, as JSON.
 
 use platform::store::item;
 use serde::{Deserialize, Serialize};
 
-/// Part of a gateway's copy of the store. Items have the form that the store gives them.
+/// Part of a gateway's copy of the store, with items in the store's own format.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Extract {
-    /// Items; all of them, or those after a revision with removed ones among them.
+    /// All items, or the items changed after a revision, including removed ones.
     pub page: item::Page,
-    /// Whether these are all items, so that any other was removed.
+    /// Whether `page` contains all items, so that any other item was removed.
     pub is_whole: bool,
-    /// The number of the sender's fleet; 0 where it is not known.
+    /// Number of the sender's fleet; 0 if unknown.
     #[serde(default, skip_serializing_if = "is_unknown")]
     pub fleet: u32,
 }
--- a/crates/wire/src/gateway/facts.rs
+++ b/crates/wire/src/gateway/facts.rs
@@ -1,17 +1,17 @@
-//! Facts: what a gateway knows that others may have missed, as a datagram.
+//! Facts: data that a gateway has and others may have missed, as a datagram.
 
 use crate::gateway::loads;
 
-/// First byte of a datagram that holds facts.
+/// First byte of a facts datagram.
 pub const MARK: u8 = 4;
 
-/// All that the sender knows of upstreams that leave.
+/// All leaving upstreams that the sender knows.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Facts {
-    /// The sender.
+    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Upstreams that said that they leave.
+    /// Upstreams that stated that they are leaving.
     #[prost(message, optional, tag = "2")]
     pub leavings: Option<loads::Leavings>,
 }
--- a/crates/wire/src/gateway/loads.rs
+++ b/crates/wire/src/gateway/loads.rs
@@ -1,90 +1,99 @@
-//! Loads: the requests that a gateway, or several, have in flight, as a datagram.
+//! Loads: requests that one gateway, or a group of gateways, has in flight, as a datagram.
 
-/// First byte of a datagram that holds loads.
+/// First byte of a loads datagram.
 pub const MARK: u8 = 1;
 
-/// Requests in flight at upstreams, and what organisations ask; lists that belong together have the same length and order.
+/// Requests in flight per upstream, and request rates per organisation.
+///
+/// `upstreams` and `requests` are parallel lists, and so are `organisations` and the lists after it
+/// up to `debts`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Loads {
-    /// The sender, or a name for the sum of several.
+    /// Name of the sender, or of the group whose loads are summed.
     #[prost(string, tag = "1")]
     pub node: String,
-    /// Hashes of the upstreams' names.
+    /// Hashes of the upstream names.
     #[prost(fixed32, repeated, tag = "2")]
     pub upstreams: Vec<u32>,
     /// Requests in flight at each upstream.
     #[prost(uint32, repeated, tag = "3")]
     pub requests: Vec<u32>,
-    /// Hashes of organisations' names; 0 for all of them together.
+    /// Hashes of the organisation names; 0 for the total over all organisations.
     #[prost(fixed32, repeated, tag = "4")]
     pub organisations: Vec<u32>,
-    /// What each asks of the sender, in hundredths of a request a second, twice; odd where it is near its limit.
+    /// Request rate of each organisation at the sender, in hundredths of a request per second.
+    ///
+    /// Shifted left by one bit; the lowest bit is set if the organisation is near its limit.
     #[prost(uint32, repeated, tag = "5")]
     pub asked: Vec<u32>,
-    /// What each is admitted by the sender, in hundredths of a request a second.
+    /// Admitted request rate of each organisation at the sender, in hundredths of a request per
+    /// second.
     #[prost(uint32, repeated, tag = "6")]
     pub admitted: Vec<u32>,
-    /// What the sender admitted of each beyond its part of the limit in the last moments, in hundredths of a request.
+    /// Requests that the sender recently admitted beyond its share of each limit, in hundredths.
     #[prost(uint32, repeated, tag = "7")]
     pub excess: Vec<u32>,
-    /// What each owes the fleet, as the sender knows it, in hundredths of a request.
+    /// Requests admitted in the fleet beyond each limit, as known to the sender, in hundredths.
     #[prost(uint32, repeated, tag = "8")]
     pub debts: Vec<u32>,
-    /// What is sent to upstreams that name limits.
+    /// Request rates to upstreams that announce rate limits.
     #[prost(message, optional, tag = "9")]
     pub sends: Option<Sends>,
-    /// What upstreams name.
+    /// Rate limits that upstreams announce.
     #[prost(message, optional, tag = "10")]
     pub limits: Option<Limits>,
-    /// Upstreams that said that they leave.
+    /// Upstreams that stated that they are leaving.
     #[prost(message, optional, tag = "11")]
     pub leavings: Option<Leavings>,
 }
 
-/// What is sent to upstreams that name limits, in the units of [`Loads`]; all lists have the same length and order.
+/// Request rates to upstreams that announce rate limits, in the units of [`Loads`], as parallel
+/// lists.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Sends {
-    /// Hashes of the upstreams' names; 0 for all requests together.
+    /// Hashes of the upstream names; 0 for the total over all requests.
     #[prost(fixed32, repeated, tag = "1")]
     pub upstreams: Vec<u32>,
-    /// What would go to each, twice; odd where it is near its limit.
+    /// Requested rate per upstream, shifted left by one bit; the lowest bit is set if it is near
+    /// its limit.
     #[prost(uint32, repeated, tag = "2")]
     pub asked: Vec<u32>,
-    /// What the sender sends to each.
+    /// Rate at which the sender sends to each upstream.
     #[prost(uint32, repeated, tag = "3")]
     pub admitted: Vec<u32>,
-    /// What it sent to each beyond its part of the limit in the last moments.
+    /// Requests that the sender recently sent beyond its share of each limit.
     #[prost(uint32, repeated, tag = "4")]
     pub excess: Vec<u32>,
-    /// What each got beyond its limit, as the sender knows it.
+    /// Requests that each upstream received beyond its limit, as known to the sender.
     #[prost(uint32, repeated, tag = "5")]
     pub debts: Vec<u32>,
 }
 
-/// The limits that upstreams name; all lists have the same length and order.
+/// Rate limits that upstreams announce, as parallel lists.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Limits {
-    /// Hashes of the upstreams' names.
+    /// Hashes of the upstream names.
     #[prost(fixed32, repeated, tag = "1")]
     pub upstreams: Vec<u32>,
-    /// Requests a second; negative where an upstream names no limit any more.
+    /// Requests per second; negative if the upstream has withdrawn its limit.
     #[prost(double, repeated, tag = "2")]
     pub rates: Vec<f64>,
-    /// Time since an answer said so, in milliseconds.
+    /// Time since the response that stated it, in milliseconds.
     #[prost(uint32, repeated, tag = "3")]
     pub ages: Vec<u32>,
 }
 
-/// Processes of upstreams that said that they leave; all lists have the same length and order.
+/// Upstream processes that stated that they are leaving, as parallel lists.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Leavings {
-    /// The upstreams' names: a hash that two share would end the use of the other one for good.
+    /// Names of the upstreams; with hashes, a collision would permanently exclude the wrong
+    /// upstream.
     #[prost(string, repeated, tag = "1")]
     pub upstreams: Vec<String>,
-    /// When each process started, in milliseconds since 1970; 0 where that is not known.
+    /// Start time of each process, in milliseconds since the Unix epoch; 0 if unknown.
     #[prost(uint64, repeated, tag = "2")]
     pub born: Vec<u64>,
-    /// Time since an answer said so, in milliseconds.
+    /// Time since the response that stated it, in milliseconds.
     #[prost(uint32, repeated, tag = "3")]
     pub ages: Vec<u32>,
 }
--- a/crates/wire/src/gateway/mod.rs
+++ b/crates/wire/src/gateway/mod.rs
@@ -1,6 +1,8 @@
-//! Messages between gateways, written by hand: datagrams and the answer about changes of the store.
+//! Hand-written message types between gateways: datagrams, and the response to a query for store
+//! changes.
 //!
-//! Owns their forms on the wire; when and to whom they are sent is the gateway's.
+//! The modules define the wire formats only; the gateway decides when and to whom messages are
+//! sent.
 
 pub mod extract;
 pub mod facts;
--- a/crates/wire/src/gateway/quarantine.rs
+++ b/crates/wire/src/gateway/quarantine.rs
@@ -1,34 +1,36 @@
-//! Quarantine: requests that were in flight at crashes, and those that are held back, as a datagram.
+//! Quarantine reports: requests that were in flight at crashes, and quarantined requests, as a
+//! datagram.
 //!
-//! Times are ages when the datagram is written, in milliseconds, since nodes do not share a clock.
+//! Times are sent as ages in milliseconds at the time of encoding, because nodes do not share a
+//! clock.
 
-/// First byte of a datagram that holds such a report.
+/// First byte of a quarantine datagram.
 pub const MARK: u8 = 3;
 
-/// Report of crashes and of requests that are held back.
+/// Report of crashes and of quarantine decisions.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Report {
-    /// The sender.
+    /// Name of the sender.
     #[prost(string, tag = "1")]
     pub node: String,
     /// Requests that were in flight at crashes.
     #[prost(message, repeated, tag = "2")]
     pub sightings: Vec<Sighting>,
-    /// Requests that ran to their end after they had been at crashes.
+    /// Requests that completed after they had been in flight at crashes.
     #[prost(message, repeated, tag = "3")]
     pub cleared: Vec<Request>,
-    /// Who is held back, and who no longer is.
+    /// Quarantine decisions, including those that end a quarantine.
     #[prost(message, repeated, tag = "4")]
     pub rulings: Vec<Ruling>,
 }
 
-/// A request, by its fingerprint.
+/// Fingerprint of a request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Request {
-    /// Hash of what is asked, 16 bytes.
+    /// Hash of the request content, 16 bytes.
     #[prost(bytes = "vec", tag = "1")]
     pub content: Vec<u8>,
-    /// Hash of who asks; none for any caller.
+    /// Hash of the caller; absent for any caller.
     #[prost(fixed64, optional, tag = "2")]
     pub caller: Option<u64>,
 }
@@ -39,13 +41,13 @@
     /// The request.
     #[prost(message, optional, tag = "1")]
     pub request: Option<Request>,
-    /// Hash of the upstream's name and start.
+    /// Hash of the upstream's name and start time.
     #[prost(fixed64, tag = "2")]
     pub start: u64,
-    /// Hash of its service's name.
+    /// Hash of the upstream's service name.
     #[prost(fixed32, tag = "3")]
     pub service: u32,
-    /// Upstreams of that service.
+    /// Number of upstreams of that service.
     #[prost(uint32, tag = "4")]
     pub upstreams: u32,
     /// Time since the request was sent to the upstream.
@@ -56,25 +58,25 @@
     pub crashed_ms: u64,
 }
 
-/// Whether requests are held back.
+/// Decision whether requests are quarantined.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ruling {
     /// The requests.
     #[prost(message, optional, tag = "1")]
     pub request: Option<Request>,
-    /// Grows with each decision on them.
+    /// Increases with each decision on these requests.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// Whether they are held back.
+    /// Whether the requests are quarantined.
     #[prost(bool, tag = "3")]
     pub is_held: bool,
-    /// Crashes that showed it.
+    /// Number of crashes that the decision is based on.
     #[prost(uint32, tag = "4")]
     pub crashes: u32,
     /// Time since the decision.
     #[prost(uint64, tag = "5")]
     pub since_ms: u64,
-    /// Time since such a request last came.
+    /// Time since such a request was last received.
     #[prost(uint64, tag = "6")]
     pub asked_ms: u64,
 }
