--- a/crates/node/src/gateway/proxy/tries.rs
+++ b/crates/node/src/gateway/proxy/tries.rs
@@ -216,7 +216,7 @@
                 state.metrics.retries.add(1);
                 Ok(())
             }
-            retry::Next::GiveUp(give_up::Reason::TurnedAway) => Err(self.turned_away()),
+            retry::Next::GiveUp(give_up::Reason::Refused) => Err(self.turned_away()),
             retry::Next::GiveUp(reason) => Err(reason),
         }
     }
@@ -295,7 +295,7 @@
             }
             _ => {
                 let load = answer.load;
-                (outcome::Outcome::TurnedAway { load }, retry::Outcome::TurnedAway)
+                (outcome::Outcome::Refused { load }, retry::Outcome::Refused)
             }
         };
         attempt.end(for_dispatcher);
--- a/crates/node/tests/forms/headers.rs
+++ b/crates/node/tests/forms/headers.rs
@@ -169,7 +169,7 @@
         Reason::GivenUp(give_up::Reason::NoUpstream),
         Reason::GivenUp(give_up::Reason::Overloaded { retry_after }),
         Reason::GivenUp(give_up::Reason::Unreachable),
-        Reason::GivenUp(give_up::Reason::TurnedAway),
+        Reason::GivenUp(give_up::Reason::Refused),
         Reason::GivenUp(give_up::Reason::MayHaveRun),
         Reason::GivenUp(give_up::Reason::TimedOut),
         Reason::GivenUp(give_up::Reason::NotSent),
--- a/crates/steer/src/dispatch/dispatcher/tries.rs
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -74,7 +74,7 @@
                 }
                 apply_report(upstream, load, now);
             }
-            outcome::Outcome::TurnedAway { load } => {
+            outcome::Outcome::Refused { load } => {
                 upstream.health.refused(in_flight, now);
                 apply_report(upstream, load, now);
                 upstream.load.full(upstream.entry.slots, now);
--- a/crates/steer/src/dispatch/give_up.rs
+++ b/crates/steer/src/dispatch/give_up.rs
@@ -68,7 +68,7 @@
     /// Connections to too many upstreams failed.
     Unreachable,
     /// The last upstream refused it, and no retry is allowed.
-    TurnedAway,
+    Refused,
     /// An upstream may have executed it, and it must not be repeated.
     MayHaveRun,
     /// It was sent, and its deadline passed.
@@ -92,7 +92,7 @@
             Self::NoUpstream => "no-upstream",
             Self::Overloaded { .. } => "overloaded",
             Self::Unreachable => "unreachable",
-            Self::TurnedAway => "turned-away",
+            Self::Refused => "turned-away",
             Self::MayHaveRun => "broken",
             Self::TimedOut => "timed-out",
             Self::NotSent => "not-sent-in-time",
@@ -110,7 +110,7 @@
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Self::NoService | Self::NoHome | Self::NotSent => Some(RETRY_AFTER_DEFAULT),
-            Self::NoUpstream | Self::Unreachable | Self::TurnedAway => Some(RETRY_AFTER_REFUSAL),
+            Self::NoUpstream | Self::Unreachable | Self::Refused => Some(RETRY_AFTER_REFUSAL),
             Self::Overloaded { retry_after }
             | Self::Limited { retry_after }
             | Self::Resting { retry_after }
--- a/crates/steer/src/dispatch/outcome.rs
+++ b/crates/steer/src/dispatch/outcome.rs
@@ -26,7 +26,7 @@
         load: Option<load::Report>,
     },
     /// The upstream refused the request without executing it.
-    TurnedAway {
+    Refused {
         /// Load that the upstream reported.
         load: Option<load::Report>,
     },
--- a/crates/steer/src/dispatch/retry.rs
+++ b/crates/steer/src/dispatch/retry.rs
@@ -190,7 +190,7 @@
     ) -> give_up::Reason {
         match dispatcher.all_rest(&self.dispatcher_request(request, now), now) {
             Some(retry_after) => give_up::Reason::Resting { retry_after },
-            None => give_up::Reason::TurnedAway,
+            None => give_up::Reason::Refused,
         }
     }
 
@@ -244,9 +244,9 @@
     ) -> Next {
         let next = match outcome {
             Outcome::Answered(_) => Next::Answer,
-            Outcome::TurnedAway | Outcome::Replaced => {
+            Outcome::Refused | Outcome::Replaced => {
                 self.sent += 1;
-                self.retry_or_fail(is_body_ready, take_retry, give_up::Reason::TurnedAway)
+                self.retry_or_fail(is_body_ready, take_retry, give_up::Reason::Refused)
             }
             Outcome::Broken(_) => {
                 self.sent += 1;
--- a/crates/steer/src/dispatch/tried.rs
+++ b/crates/steer/src/dispatch/tried.rs
@@ -14,7 +14,7 @@
     /// The upstream responded with this status.
     Answered(u16),
     /// The upstream refused the request and did not execute it.
-    TurnedAway,
+    Refused,
     /// Another upstream responded at its address; the request was not executed.
     Replaced,
     /// Nothing was sent, for this cause.
@@ -39,7 +39,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Outcome(Outcome::Answered(status)) => write!(formatter, "{status}"),
-            Self::Outcome(Outcome::TurnedAway) => formatter.write_str("turned-away"),
+            Self::Outcome(Outcome::Refused) => formatter.write_str("turned-away"),
             Self::Outcome(Outcome::Replaced) => formatter.write_str("replaced"),
             Self::Outcome(Outcome::NotSent(cause) | Outcome::Broken(cause)) => {
                 formatter.write_str(cause)
--- a/crates/steer/tests/load/deployment.rs
+++ b/crates/steer/tests/load/deployment.rs
@@ -263,7 +263,7 @@
             Event::Answered { upstream, job, load } => self.answered(upstream, &job, load, now),
             Event::TurnedAway { upstream, job, load } => {
                 let entry = &self.upstreams[upstream].entry;
-                let outcome = outcome::Outcome::TurnedAway { load: Some(load) };
+                let outcome = outcome::Outcome::Refused { load: Some(load) };
                 self.gateways[job.gateway].0.ended(entry, outcome, now - job.sent, now);
                 self.tally(&job, now, |tally| tally.refused += 1);
             }
--- a/crates/steer/tests/retry.rs
+++ b/crates/steer/tests/retry.rs
@@ -78,9 +78,9 @@
 fn refused_request_is_retried_within_attempt_limit_body_and_budget() {
     let now = Instant::now();
     let route = route(route::Kind::NonIdempotent, 2);
-    let turned_away = retry::Next::GiveUp(give_up::Reason::TurnedAway);
+    let turned_away = retry::Next::GiveUp(give_up::Reason::Refused);
     let mut dispatcher = dispatcher(3, now);
-    for outcome in [retry::Outcome::TurnedAway, retry::Outcome::Replaced] {
+    for outcome in [retry::Outcome::Refused, retry::Outcome::Replaced] {
         let mut progress = retry::Progress::new(&route);
         let first = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
         assert!(first.is_first);
@@ -97,7 +97,7 @@
         let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
         assert_eq!(progress.end(outcome, true, || false), turned_away);
     }
-    assert_eq!(give_up::Reason::TurnedAway.retry_after(), Some(Duration::from_millis(60)));
+    assert_eq!(give_up::Reason::Refused.retry_after(), Some(Duration::from_millis(60)));
 }
 
 #[test]
