--- a/crates/node/src/gateway/proxy/tries.rs
+++ b/crates/node/src/gateway/proxy/tries.rs
@@ -148,12 +148,12 @@
 
     fn choose(&mut self) -> Result<retry::Choice, give_up::Reason> {
         if self.is_revoked() {
-            return Err(self.progress.revoke());
+            return Err(self.progress.reason_after_revocation());
         }
         self.held = self.identity.check();
         if let Some(hold) = self.held {
             self.server.state.metrics.held_back.add(1);
-            return Err(self.progress.hold(hold.retry_after));
+            return Err(self.progress.reason_in_quarantine(hold.retry_after));
         }
         let request = self.for_choice();
         let mut dispatcher = self.server.state.dispatcher.borrow_mut();
@@ -224,7 +224,7 @@
     /// Returns why a request is given up that was refused at last: no retry of its caller succeeds while all upstreams rest.
     fn turned_away(&self) -> give_up::Reason {
         let mut dispatcher = self.server.state.dispatcher.borrow_mut();
-        self.progress.turned_away(self.for_choice(), &mut dispatcher, Instant::now())
+        self.progress.reason_after_refusal(self.for_choice(), &mut dispatcher, Instant::now())
     }
 
     /// Sends the request on a resting connection, or on a new one.
--- a/crates/steer/src/dispatch/retry.rs
+++ b/crates/steer/src/dispatch/retry.rs
@@ -182,7 +182,7 @@
     ///
     /// This is `Resting` if all upstreams have meanwhile asked for a rest period.
     #[must_use]
-    pub fn turned_away(
+    pub fn reason_after_refusal(
         &self,
         request: Request<'_>,
         dispatcher: &mut dispatcher::Dispatcher,
@@ -212,13 +212,13 @@
 
     /// Returns the failure reason of a request whose organisation's key was revoked.
     #[must_use]
-    pub fn revoke(&self) -> give_up::Reason {
+    pub fn reason_after_revocation(&self) -> give_up::Reason {
         self.unless_may_have_run(give_up::Reason::Revoked)
     }
 
     /// Returns the failure reason of a request that was quarantined.
     #[must_use]
-    pub fn hold(&self, retry_after: Duration) -> give_up::Reason {
+    pub fn reason_in_quarantine(&self, retry_after: Duration) -> give_up::Reason {
         self.unless_may_have_run(give_up::Reason::Quarantined { retry_after })
     }
 
