--- a/crates/node/src/gateway/leaving_report.rs
+++ b/crates/node/src/gateway/leaving_report.rs
@@ -17,9 +17,9 @@
 }
 
 /// Writes announcements.
-pub(super) fn encode(leavings: &[leaving::Announcement]) -> message::Leavings {
+pub(super) fn encode(leavings: &[leaving::Announcement]) -> message::LeavingProcesses {
     let name = |announced: &leaving::Announcement| announced.incarnation.upstream.to_string();
-    message::Leavings {
+    message::LeavingProcesses {
         upstreams: leavings.iter().map(name).collect(),
         born: leavings.iter().map(|announced| announced.incarnation.born).collect(),
         ages: leavings.iter().map(|announced| millis(announced.age)).collect(),
@@ -31,7 +31,9 @@
 /// # Errors
 ///
 /// Fails when the lists do not have the same length.
-pub(super) fn read(leavings: &message::Leavings) -> Result<Vec<leaving::Announcement>, Uneven> {
+pub(super) fn read(
+    leavings: &message::LeavingProcesses,
+) -> Result<Vec<leaving::Announcement>, Uneven> {
     let names = leavings.upstreams.len();
     if let Some(figures) =
         [leavings.born.len(), leavings.ages.len()].into_iter().find(|length| *length != names)
--- a/crates/steer/src/dispatch/dispatcher/mod.rs
+++ b/crates/steer/src/dispatch/dispatcher/mod.rs
@@ -57,7 +57,7 @@
     owners: slow_start_owner::Owners,
     priorities: priority::Priorities,
     limits: upstream_limit::Limits,
-    leavings: leaving::Leavings,
+    leavings: leaving::LeavingProcesses,
     rests: rest::Rests,
     max_nodes: usize,
 }
@@ -85,7 +85,7 @@
             owners: slow_start_owner::Owners { near, ..slow_start_owner::Owners::default() },
             priorities: priority::Priorities::default(),
             limits,
-            leavings: leaving::Leavings::default(),
+            leavings: leaving::LeavingProcesses::default(),
             rests: rest::Rests::default(),
             max_nodes: 1,
         }
--- a/crates/steer/src/dispatch/dispatcher/statements.rs
+++ b/crates/steer/src/dispatch/dispatcher/statements.rs
@@ -131,13 +131,13 @@
     }
 
     /// Returns the processes that were observed to leave, to announce them.
-    pub fn leavings_mut(&mut self) -> &mut leaving::Leavings {
+    pub fn leavings_mut(&mut self) -> &mut leaving::LeavingProcesses {
         &mut self.leavings
     }
 
     /// Returns the processes that were observed to leave.
     #[must_use]
-    pub fn leavings(&self) -> &leaving::Leavings {
+    pub fn leavings(&self) -> &leaving::LeavingProcesses {
         &self.leavings
     }
 
--- a/crates/steer/src/dispatch/leaving.rs
+++ b/crates/steer/src/dispatch/leaving.rs
@@ -54,12 +54,12 @@
 
 /// The processes known to be leaving.
 #[derive(Clone, Debug, Default)]
-pub struct Leavings {
+pub struct LeavingProcesses {
     observed: collections::BTreeMap<incarnation::Incarnation, Observation>,
     announcer: Announcer,
 }
 
-impl Leavings {
+impl LeavingProcesses {
     /// Returns the observation that a process is leaving, if there is one.
     #[must_use]
     pub fn get(&self, incarnation: &incarnation::Incarnation) -> Option<&Observation> {
--- a/crates/wire/src/gateway/facts.rs
+++ b/crates/wire/src/gateway/facts.rs
@@ -13,5 +13,5 @@
     pub node: String,
     /// Upstreams that stated that they are leaving.
     #[prost(message, optional, tag = "2")]
-    pub leavings: Option<loads::Leavings>,
+    pub leavings: Option<loads::LeavingProcesses>,
 }
--- a/crates/wire/src/gateway/loads.rs
+++ b/crates/wire/src/gateway/loads.rs
@@ -44,7 +44,7 @@
     pub limits: Option<Limits>,
     /// Upstreams that stated that they are leaving.
     #[prost(message, optional, tag = "11")]
-    pub leavings: Option<Leavings>,
+    pub leavings: Option<LeavingProcesses>,
 }
 
 /// Request rates to upstreams that announce rate limits, in the units of [`Loads`], as parallel
@@ -85,7 +85,7 @@
 
 /// Upstream processes that stated that they are leaving, as parallel lists.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Leavings {
+pub struct LeavingProcesses {
     /// Names of the upstreams; with hashes, a collision would permanently exclude the wrong
     /// upstream.
     #[prost(string, repeated, tag = "1")]
