--- a/crates/steer/src/dispatch/dispatcher/tries.rs
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -30,8 +30,8 @@
         let allowance = self.allowance();
         let Some(upstream) = self.upstreams.get_mut(upstream) else { return 1.0 };
         let crowding = upstream.crowding(now);
-        upstream.health.sent(upstream.load.in_flight(), now);
-        upstream.load.sent();
+        upstream.health.record_sent(upstream.load.in_flight(), now);
+        upstream.load.record_sent();
         let service = &upstream.entry.service;
         if let Some(rate) = slow_start::rate(&self.routing, service)
             && upstream.slow_start.is_cold(now)
@@ -59,14 +59,14 @@
             return;
         }
         let upstream = known;
-        upstream.load.ended();
+        upstream.load.record_end();
         let in_flight = upstream.load.in_flight();
         let work = self.work.entry(upstream.entry.service.clone()).or_default();
         match outcome {
             outcome::Outcome::Answered { latency, crowding, object, load } => {
                 let time = seconds::Seconds(latency.as_secs_f64() / crowding.max(1.0));
                 let sight = object.map_or(seen_objects::Sight::Preferred, |object| object.sight);
-                upstream.health.answered(time, work.of(sight), in_flight, now);
+                upstream.health.record_answer(time, work.of(sight), in_flight, now);
                 let distance = self.distances.entry(upstream.entry.service.clone()).or_default();
                 record_time(work, distance, &upstream.region, sight, time);
                 if let Some(object) = object {
@@ -75,19 +75,19 @@
                 apply_report(upstream, load, now);
             }
             outcome::Outcome::Refused { load } => {
-                upstream.health.refused(in_flight, now);
+                upstream.health.record_refusal(in_flight, now);
                 apply_report(upstream, load, now);
-                upstream.load.full(upstream.entry.slots, now);
+                upstream.load.record_full(upstream.entry.slots, now);
             }
             outcome::Outcome::Replaced => upstream.is_replaced = true,
-            outcome::Outcome::NotSent => upstream.health.unreachable(now),
+            outcome::Outcome::NotSent => upstream.health.record_unreachable(now),
             // A refusal that proves nothing, with which it asked for rest.
             outcome::Outcome::Broken if upstream.is_resting(now) => {}
-            outcome::Outcome::Broken => upstream.health.broken(now),
-            outcome::Outcome::TimedOut => upstream.health.timed_out(waited, work.mean(), now),
+            outcome::Outcome::Broken => upstream.health.record_broken(now),
+            outcome::Outcome::TimedOut => upstream.health.record_timeout(waited, work.mean(), now),
             outcome::Outcome::Abandoned => {}
         }
-        upstream.health.ended(in_flight);
+        upstream.health.record_end(in_flight);
     }
 
     fn allowance(&self) -> retry_budget::Allowance {
@@ -103,7 +103,7 @@
 
 fn apply_report(upstream: &mut upstream::Upstream, report: Option<load::Report>, now: Instant) {
     if let Some(report) = report {
-        upstream.load.report(report, now);
+        upstream.load.record_report(report, now);
     }
 }
 
--- a/crates/steer/src/dispatch/health.rs
+++ b/crates/steer/src/dispatch/health.rs
@@ -35,15 +35,15 @@
     }
 
     /// Records that a request is sent; `in_flight` excludes it.
-    pub fn sent(&mut self, in_flight: u32, now: Instant) {
-        self.silence.sent(in_flight, now);
+    pub fn record_sent(&mut self, in_flight: u32, now: Instant) {
+        self.silence.record_sent(in_flight, now);
     }
 
     /// Records a response.
     ///
     /// `work` is the processing time without queueing and `expected` the usual one for the service;
     /// `in_flight` excludes the request.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         work: seconds::Seconds,
         expected: seconds::Seconds,
@@ -52,23 +52,23 @@
     ) {
         self.work.record(work, expected, now);
         self.failures.record_success(now);
-        self.refused(in_flight, now);
+        self.record_refusal(in_flight, now);
     }
 
     /// Records a refusal, which shows that the upstream is alive; `in_flight` excludes the request.
-    pub fn refused(&mut self, in_flight: u32, now: Instant) {
+    pub fn record_refusal(&mut self, in_flight: u32, now: Instant) {
         self.ejection.reset();
-        self.silence.answered(in_flight, now);
+        self.silence.record_answer(in_flight, now);
     }
 
     /// Records a failed connection or an invalid response.
-    pub fn broken(&mut self, now: Instant) {
+    pub fn record_broken(&mut self, now: Instant) {
         self.failures.record_failure(now);
     }
 
     /// Records that a request's deadline passed after `waited`; ejects the upstream if it is
     /// silent.
-    pub fn timed_out(&mut self, waited: Duration, service: seconds::Seconds, now: Instant) {
+    pub fn record_timeout(&mut self, waited: Duration, service: seconds::Seconds, now: Instant) {
         if self.is_silent(service, now) {
             self.ejection.eject(now);
         }
@@ -76,13 +76,13 @@
     }
 
     /// Records that no connection could be opened.
-    pub fn unreachable(&mut self, now: Instant) {
+    pub fn record_unreachable(&mut self, now: Instant) {
         self.ejection.eject(now);
     }
 
     /// Records the end of an attempt, with any result; `in_flight` excludes it.
-    pub fn ended(&mut self, in_flight: u32) {
-        self.silence.ended(in_flight);
+    pub fn record_end(&mut self, in_flight: u32) {
+        self.silence.record_end(in_flight);
     }
 
     /// Returns whether the upstream is ejected.
--- a/crates/steer/src/dispatch/reported_load.rs
+++ b/crates/steer/src/dispatch/reported_load.rs
@@ -41,12 +41,12 @@
     }
 
     /// Records that a request is sent.
-    pub fn sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.in_flight += 1;
     }
 
     /// Records the end of an attempt.
-    pub fn ended(&mut self) {
+    pub fn record_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
@@ -56,14 +56,14 @@
     }
 
     /// Records the load reported in a response, after the end of the response's own request.
-    pub fn report(&mut self, load: load::Report, now: Instant) {
+    pub fn record_report(&mut self, load: load::Report, now: Instant) {
         let all = f64::from(load.running + load.waiting);
         self.others = (all - f64::from(self.in_flight)).max(0.0);
         self.reported = now;
     }
 
     /// Records that the upstream refused a request because it is full.
-    pub fn full(&mut self, slots: u32, now: Instant) {
+    pub fn record_full(&mut self, slots: u32, now: Instant) {
         self.others = self.others.max(f64::from(slots) * FULL_FACTOR);
         self.reported = now;
     }
--- a/crates/steer/src/dispatch/silence.rs
+++ b/crates/steer/src/dispatch/silence.rs
@@ -23,19 +23,19 @@
 
 impl Silence {
     /// Records that a request is sent; `in_flight` excludes it.
-    pub fn sent(&mut self, in_flight: u32, now: Instant) {
+    pub fn record_sent(&mut self, in_flight: u32, now: Instant) {
         if in_flight == 0 {
             self.since = Some(now);
         }
     }
 
     /// Records a response; `in_flight` excludes its request.
-    pub fn answered(&mut self, in_flight: u32, now: Instant) {
+    pub fn record_answer(&mut self, in_flight: u32, now: Instant) {
         self.since = (in_flight > 0).then_some(now);
     }
 
     /// Records an attempt that ended without a response; `in_flight` excludes it.
-    pub fn ended(&mut self, in_flight: u32) {
+    pub fn record_end(&mut self, in_flight: u32) {
         if in_flight == 0 {
             self.since = None;
         }
--- a/crates/steer/tests/selection.rs
+++ b/crates/steer/tests/selection.rs
@@ -117,17 +117,17 @@
     let entry = sync::Arc::new(entry(number));
     let mut upstream = upstream::Upstream::new(entry, id::Region::new("north"), now);
     for _ in 0..random.random_range(0..6) {
-        upstream.load.sent();
+        upstream.load.record_sent();
     }
     upstream.load.set_peers(random.random_range(0..8));
     match random.random_range(0..10) {
-        0 => upstream.health.unreachable(now),
-        1 => upstream.health.broken(now),
-        2 => upstream.load.full(4, now),
+        0 => upstream.health.record_unreachable(now),
+        1 => upstream.health.record_broken(now),
+        2 => upstream.load.record_full(4, now),
         3..6 => upstream.objects.record(key),
         6 => {
             let (work, expected) = (seconds::Seconds(0.9), seconds::Seconds(0.3));
-            upstream.health.answered(work, expected, 0, now);
+            upstream.health.record_answer(work, expected, 0, now);
         }
         _ => {}
     }
