--- a/crates/steer/src/dispatch/dispatcher/mod.rs
+++ b/crates/steer/src/dispatch/dispatcher/mod.rs
@@ -58,7 +58,7 @@
     priorities: priority::Priorities,
     limits: upstream_limit::Limits,
     leavings: leaving::LeavingProcesses,
-    rests: rest::Rests,
+    rests: rest::RestPeriods,
     max_nodes: usize,
 }
 
@@ -86,7 +86,7 @@
             priorities: priority::Priorities::default(),
             limits,
             leavings: leaving::LeavingProcesses::default(),
-            rests: rest::Rests::default(),
+            rests: rest::RestPeriods::default(),
             max_nodes: 1,
         }
     }
--- a/crates/steer/src/dispatch/rest.rs
+++ b/crates/steer/src/dispatch/rest.rs
@@ -21,12 +21,12 @@
 
 /// Processes in a rest period.
 #[derive(Clone, Debug, Default)]
-pub struct Rests {
+pub struct RestPeriods {
     until: collections::BTreeMap<incarnation::Incarnation, Instant>,
     retry_offset: f64,
 }
 
-impl Rests {
+impl RestPeriods {
     /// Returns the end of a process's rest period, if it has one.
     #[must_use]
     pub fn until(&self, incarnation: &incarnation::Incarnation) -> Option<Instant> {
