--- a/crates/steer/src/dispatch/peer_load.rs
+++ b/crates/steer/src/dispatch/peer_load.rs
@@ -47,12 +47,12 @@
 
 /// The latest load reports of other nodes, and their totals.
 #[derive(Clone, Debug, Default)]
-pub struct Peers {
+pub struct PeerLoads {
     reports: collections::BTreeMap<id::Node, Report>,
     totals: collections::HashMap<Key, u32>,
 }
 
-impl Peers {
+impl PeerLoads {
     /// Replaces the report of `node`; returns the upstreams whose totals may have changed.
     pub fn report(&mut self, node: id::Node, requests: Vec<(Key, u32)>, now: Instant) -> Vec<Key> {
         for (key, requests) in &requests {
--- a/crates/steer/tests/peer_load.rs
+++ b/crates/steer/tests/peer_load.rs
@@ -31,7 +31,7 @@
 fn totals_equal_the_sums_of_the_latest_reports() {
     let mut rng = rand::rngs::StdRng::seed_from_u64(1);
     let mut now = Instant::now();
-    let mut peers = peer_load::Peers::default();
+    let mut peers = peer_load::PeerLoads::default();
     let mut latest: collections::BTreeMap<id::Node, (Requests, Instant)> =
         collections::BTreeMap::new();
     let mut totals = collections::BTreeMap::new();
