--- a/crates/steer/src/dispatch/affinity.rs
+++ b/crates/steer/src/dispatch/affinity.rs
@@ -64,9 +64,9 @@
 
 /// Returns the cost of an upstream that has seen the object and is not its first, as a multiple of the first one's.
 #[must_use]
-pub fn seen_cost(work: expected_work::Work) -> f64 {
-    let first = work.of(seen_objects::Sight::Seen).0.max(f64::EPSILON);
-    let elsewhere = work.of(seen_objects::Sight::SeenElsewhere).0;
+pub fn seen_cost(work: expected_work::ProcessingTimes) -> f64 {
+    let first = work.mean_for(seen_objects::Sight::Seen).0.max(f64::EPSILON);
+    let elsewhere = work.mean_for(seen_objects::Sight::SeenElsewhere).0;
     SEEN_COST * (elsewhere / first).max(1.0)
 }
 
--- a/crates/steer/src/dispatch/dispatcher/mod.rs
+++ b/crates/steer/src/dispatch/dispatcher/mod.rs
@@ -46,7 +46,7 @@
     routing: sync::Arc<routing::Routing>,
     evacuated: collections::BTreeSet<id::Hall>,
     upstreams: index::Index,
-    work: collections::BTreeMap<id::Service, expected_work::Work>,
+    work: collections::BTreeMap<id::Service, expected_work::ProcessingTimes>,
     budgets: collections::BTreeMap<id::Service, retry_budget::Budget>,
     routes: route::Rotations,
     regions: collections::BTreeMap<order::Scope, order::Rotation>,
--- a/crates/steer/src/dispatch/dispatcher/tries.rs
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -66,7 +66,7 @@
             outcome::Outcome::Answered { latency, crowding, object, load } => {
                 let time = seconds::Seconds(latency.as_secs_f64() / crowding.max(1.0));
                 let sight = object.map_or(seen_objects::Sight::Preferred, |object| object.sight);
-                upstream.health.record_answer(time, work.of(sight), in_flight, now);
+                upstream.health.record_answer(time, work.mean_for(sight), in_flight, now);
                 let distance = self.distances.entry(upstream.entry.service.clone()).or_default();
                 record_time(work, distance, &upstream.region, sight, time);
                 if let Some(object) = object {
@@ -109,7 +109,7 @@
 
 /// Records how long a request took without waiting, where its upstream knew as much as `sight` says.
 fn record_time(
-    work: &mut expected_work::Work,
+    work: &mut expected_work::ProcessingTimes,
     distance: &mut distance::Distance,
     region: &id::Region,
     sight: seen_objects::Sight,
--- a/crates/steer/src/dispatch/expected_work.rs
+++ b/crates/steer/src/dispatch/expected_work.rs
@@ -31,7 +31,7 @@
 
 /// Mean and mean deviation of the processing time.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct ProcessingTimes {
     mean: f64,
     deviation: f64,
     by_sight: [Mean; INITIAL_RATIOS.len()],
@@ -44,7 +44,7 @@
     responses: f64,
 }
 
-impl Default for Work {
+impl Default for ProcessingTimes {
     fn default() -> Self {
         Self {
             mean: INITIAL_MEAN_SECONDS,
@@ -54,13 +54,13 @@
     }
 }
 
-impl Work {
+impl ProcessingTimes {
     /// Records the processing time of one request.
     pub fn record(&mut self, work: seconds::Seconds, sight: Sight) {
         let error = work.0 - self.mean;
         self.mean += error * RESPONSE_WEIGHT;
         self.deviation += (error.abs() - self.deviation) * RESPONSE_WEIGHT;
-        let previous = self.of(sight).0;
+        let previous = self.mean_for(sight).0;
         let mean = &mut self.by_sight[sight as usize];
         mean.responses += 1.0;
         let weight = (1.0 / (INITIAL_RESPONSES + mean.responses)).max(RESPONSE_WEIGHT);
@@ -75,7 +75,7 @@
 
     /// Returns the mean for requests of one sight.
     #[must_use]
-    pub fn of(&self, sight: Sight) -> seconds::Seconds {
+    pub fn mean_for(&self, sight: Sight) -> seconds::Seconds {
         let mean = &self.by_sight[sight as usize];
         match mean.responses > 0.0 {
             true => seconds::Seconds(mean.mean),
@@ -85,7 +85,7 @@
 
     /// Returns a conservative estimate, which most requests do not exceed.
     #[must_use]
-    pub fn cautious(&self) -> seconds::Seconds {
+    pub fn conservative(&self) -> seconds::Seconds {
         seconds::Seconds(self.mean + self.deviation * CONSERVATIVE_DEVIATIONS)
     }
 }
--- a/crates/steer/src/dispatch/selection.rs
+++ b/crates/steer/src/dispatch/selection.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct Ranking {
     rated: Vec<Rated>,
-    work: expected_work::Work,
+    work: expected_work::ProcessingTimes,
     max_wait: seconds::Seconds,
     /// The request's object; none when it has none.
     object: Option<u64>,
@@ -62,7 +62,7 @@
     pub fn new<'a>(
         eligible: impl Iterator<Item = &'a upstream::Upstream>,
         request: &request::Request<'_>,
-        work: expected_work::Work,
+        work: expected_work::ProcessingTimes,
         urgency: priority::Rank,
         now: Instant,
     ) -> Self {
@@ -91,8 +91,8 @@
             wait: chosen.wait,
             max_wait: self.max_wait,
             work: self.work.mean(),
-            done: seconds::Seconds(chosen.wait.0 + self.work.of(chosen.sight).0),
-            expected: seconds::Seconds(chosen.wait.0 + self.work.cautious().0),
+            done: seconds::Seconds(chosen.wait.0 + self.work.mean_for(chosen.sight).0),
+            expected: seconds::Seconds(chosen.wait.0 + self.work.conservative().0),
             load_age: chosen.load_age,
             avoided: None,
             skipped: Vec::new(),
@@ -106,7 +106,7 @@
 pub fn best<'a>(
     eligible: impl Iterator<Item = &'a upstream::Upstream>,
     request: &request::Request<'_>,
-    work: expected_work::Work,
+    work: expected_work::ProcessingTimes,
     urgency: priority::Rank,
     now: Instant,
 ) -> Option<candidate::Candidate> {
@@ -118,7 +118,7 @@
     upstream: &upstream::Upstream,
     rank: usize,
     request: &request::Request<'_>,
-    work: expected_work::Work,
+    work: expected_work::ProcessingTimes,
     now: Instant,
 ) -> Rated {
     let sight = match request.route.is_sticky {
