--- a/crates/node/src/gateway/proxy/trace.rs
+++ b/crates/node/src/gateway/proxy/trace.rs
@@ -29,7 +29,7 @@
     service: Option<id::Service>,
     organisation: Option<id::Organisation>,
     version: u64,
-    tries: Vec<retry::Try>,
+    tries: Vec<retry::Attempt>,
     refusal: Option<refusal::Refusal>,
     held: Option<quarantine::Hold>,
     is_ended: bool,
@@ -86,7 +86,7 @@
     }
 
     /// Records the tries that ended, and the dispatcher's refusal if there was one.
-    pub fn set_tries(&mut self, tries: &[retry::Try], refusal: Option<&refusal::Refusal>) {
+    pub fn set_tries(&mut self, tries: &[retry::Attempt], refusal: Option<&refusal::Refusal>) {
         tries.clone_into(&mut self.tries);
         self.refusal = refusal.cloned();
     }
@@ -162,9 +162,9 @@
 }
 
 /// Returns tries as `upstream:end`, separated by commas.
-fn tries_text(tries: &[retry::Try]) -> String {
+fn tries_text(tries: &[retry::Attempt]) -> String {
     let mut text = String::new();
-    for retry::Try { upstream, end } in tries {
+    for retry::Attempt { upstream, end } in tries {
         let separator = if text.is_empty() { "" } else { "," };
         write!(text, "{separator}{upstream}:{end}").expect("writing to a string cannot fail");
     }
--- a/crates/node/src/gateway/proxy/tries.rs
+++ b/crates/node/src/gateway/proxy/tries.rs
@@ -82,7 +82,7 @@
 
     /// Returns the tries that ended, in order.
     #[must_use]
-    pub fn ended(&self) -> &[retry::Try] {
+    pub fn ended(&self) -> &[retry::Attempt] {
         self.progress.ended()
     }
 
--- a/crates/steer/src/dispatch/retry.rs
+++ b/crates/steer/src/dispatch/retry.rs
@@ -23,7 +23,7 @@
 use crate::dispatch::seen_objects;
 use crate::dispatch::urgency;
 
-pub use crate::dispatch::tried::{End, Outcome, Try};
+pub use crate::dispatch::tried::{Attempt, End, Outcome};
 
 /// Number of unreachable upstreams after which a request fails.
 ///
@@ -103,7 +103,7 @@
     is_repeatable: bool,
     max_attempts: u32,
     chosen: Vec<id::Upstream>,
-    ended_attempts: Vec<Try>,
+    ended_attempts: Vec<Attempt>,
     stage: Stage,
     sent: u32,
     unreachable: usize,
@@ -136,7 +136,7 @@
 
     /// Returns the attempts that ended, in order.
     #[must_use]
-    pub fn ended(&self) -> &[Try] {
+    pub fn ended(&self) -> &[Attempt] {
         &self.ended_attempts
     }
 
@@ -312,7 +312,7 @@
     fn record_end(&mut self, end: End) {
         self.stage = Stage::Idle;
         if let Some(upstream) = self.chosen.last().cloned() {
-            self.ended_attempts.push(Try { upstream, end });
+            self.ended_attempts.push(Attempt { upstream, end });
         }
     }
 }
--- a/crates/steer/src/dispatch/tried.rs
+++ b/crates/steer/src/dispatch/tried.rs
@@ -52,7 +52,7 @@
 
 /// An attempt that ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Try {
+pub struct Attempt {
     /// The upstream.
     pub upstream: id::Upstream,
     /// How it ended.
