--- a/crates/steer/src/dispatch/dispatcher/tries.rs
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -20,7 +20,7 @@
     /// Takes one retry to `service` from the budget; returns false when none is left.
     pub fn may_retry(&mut self, service: &id::Service, now: Instant) -> bool {
         let allowance = self.allowance();
-        self.budgets.entry(service.clone()).or_default().retry(allowance, now)
+        self.budgets.entry(service.clone()).or_default().take_retry(allowance, now)
     }
 
     /// Records the start of a try; `is_first` unless the request was sent before.
@@ -39,7 +39,7 @@
             upstream.slow_start.take(rate, now);
         }
         if is_first {
-            self.budgets.entry(service.clone()).or_default().first_try(allowance, now);
+            self.budgets.entry(service.clone()).or_default().record_first_attempt(allowance, now);
         }
         crowding
     }
--- a/crates/steer/src/dispatch/retry_budget.rs
+++ b/crates/steer/src/dispatch/retry_budget.rs
@@ -58,13 +58,13 @@
 
 impl Budget {
     /// Records a first attempt.
-    pub fn first_try(&mut self, allowance: Allowance, now: Instant) {
+    pub fn record_first_attempt(&mut self, allowance: Allowance, now: Instant) {
         self.created.get_or_insert(now);
         self.current_bucket(allowance, now).first_attempts += 1;
     }
 
     /// Takes one retry; returns `false` if none is left.
-    pub fn retry(&mut self, allowance: Allowance, now: Instant) -> bool {
+    pub fn take_retry(&mut self, allowance: Allowance, now: Instant) -> bool {
         let first_attempts: u32 =
             self.recent_buckets(allowance, now).map(|b| b.first_attempts).sum();
         let retries: u32 = self.recent_buckets(allowance, now).map(|b| b.retries).sum();
--- a/crates/steer/tests/dispatch/choice.rs
+++ b/crates/steer/tests/dispatch/choice.rs
@@ -32,8 +32,8 @@
         let mut budget = retry_budget::Budget::default();
         for step in 0..100 {
             let now = began + Duration::from_millis(50) * step;
-            budget.first_try(allowance, now);
-            sum += u32::from(budget.retry(allowance, now));
+            budget.record_first_attempt(allowance, now);
+            sum += u32::from(budget.take_retry(allowance, now));
         }
     }
     assert!((1..=8 * 100 / 5 + 8).contains(&sum), "{sum}");
