--- a/crates/node/src/gateway/proxy/relay.rs
+++ b/crates/node/src/gateway/proxy/relay.rs
@@ -98,9 +98,9 @@
         if sender.send(Ok(piece)).await.is_err() {
             return Ok(Extent::Part);
         }
-        let stalled_at = give_up::stalled_at(deadline, Instant::now());
+        let stall_deadline = give_up::stall_deadline(deadline, Instant::now());
         let frame = tokio::select! {
-            frame = tokio::time::timeout_at(stalled_at.into(), incoming.frame()) => frame,
+            frame = tokio::time::timeout_at(stall_deadline.into(), incoming.frame()) => frame,
             () = sender.closed() => return Ok(Extent::Part),
         };
         next = frame?.transpose().map_err(io::Error::other)?;
--- a/crates/steer/src/dispatch/give_up.rs
+++ b/crates/steer/src/dispatch/give_up.rs
@@ -25,7 +25,7 @@
 
 /// Returns when a response is cut off if nothing more arrives after `now`.
 #[must_use]
-pub fn stalled_at(deadline: Instant, now: Instant) -> Instant {
+pub fn stall_deadline(deadline: Instant, now: Instant) -> Instant {
     deadline.max(now + STALL_TIMEOUT)
 }
 
