--- a/crates/steer/src/dispatch/expected_work.rs
+++ b/crates/steer/src/dispatch/expected_work.rs
@@ -56,15 +56,15 @@
 
 impl ProcessingTimes {
     /// Records the processing time of one request.
-    pub fn record(&mut self, work: seconds::Seconds, sight: Sight) {
-        let error = work.0 - self.mean;
+    pub fn record(&mut self, processing_time: seconds::Seconds, sight: Sight) {
+        let error = processing_time.0 - self.mean;
         self.mean += error * RESPONSE_WEIGHT;
         self.deviation += (error.abs() - self.deviation) * RESPONSE_WEIGHT;
         let previous = self.mean_for(sight).0;
         let mean = &mut self.by_sight[sight as usize];
         mean.responses += 1.0;
         let weight = (1.0 / (INITIAL_RESPONSES + mean.responses)).max(RESPONSE_WEIGHT);
-        mean.mean = previous + (work.0 - previous) * weight;
+        mean.mean = previous + (processing_time.0 - previous) * weight;
     }
 
     /// Returns the mean over all requests.
--- a/crates/steer/src/dispatch/health.rs
+++ b/crates/steer/src/dispatch/health.rs
@@ -2,7 +2,7 @@
 //! probes.
 //!
 //! Combines [`ejection`], [`failure_rate`], [`silence`] and [`work_time`], and defines which of
-//! them each kind of result changes. `service` is the mean processing time of the upstream's
+//! them each kind of result changes. `service_mean` is the mean processing time of the upstream's
 //! service.
 
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
     ejection: ejection::Ejection,
     failures: failure_rate::FailureRate,
     silence: silence::Silence,
-    work: work_time::WorkTime,
+    processing_time_ratio: work_time::ProcessingTimeRatio,
 }
 
 impl Health {
@@ -30,7 +30,7 @@
             ejection: ejection::Ejection::default(),
             failures: failure_rate::FailureRate::new(now),
             silence: silence::Silence::default(),
-            work: work_time::WorkTime::new(now),
+            processing_time_ratio: work_time::ProcessingTimeRatio::new(now),
         }
     }
 
@@ -41,16 +41,16 @@
 
     /// Records a response.
     ///
-    /// `work` is the processing time without queueing and `expected` the usual one for the service;
+    /// `processing_time` excludes queueing, and `expected` is the usual one for the service;
     /// `in_flight` excludes the request.
     pub fn record_answer(
         &mut self,
-        work: seconds::Seconds,
+        processing_time: seconds::Seconds,
         expected: seconds::Seconds,
         in_flight: u32,
         now: Instant,
     ) {
-        self.work.record(work, expected, now);
+        self.processing_time_ratio.record(processing_time, expected, now);
         self.failures.record_success(now);
         self.record_refusal(in_flight, now);
     }
@@ -68,11 +68,16 @@
 
     /// Records that a request's deadline passed after `waited`; ejects the upstream if it is
     /// silent.
-    pub fn record_timeout(&mut self, waited: Duration, service: seconds::Seconds, now: Instant) {
-        if self.is_silent(service, now) {
+    pub fn record_timeout(
+        &mut self,
+        waited: Duration,
+        service_mean: seconds::Seconds,
+        now: Instant,
+    ) {
+        if self.is_silent(service_mean, now) {
             self.ejection.eject(now);
         }
-        self.work.record_at_least(waited, service, now);
+        self.processing_time_ratio.record_at_least(waited, service_mean, now);
     }
 
     /// Records that no connection could be opened.
@@ -93,14 +98,14 @@
 
     /// Returns whether the upstream is neither ejected nor silent.
     #[must_use]
-    pub fn is_healthy(&self, service: seconds::Seconds, now: Instant) -> bool {
-        !self.is_ejected(now) && !self.is_silent(service, now)
+    pub fn is_healthy(&self, service_mean: seconds::Seconds, now: Instant) -> bool {
+        !self.is_ejected(now) && !self.is_silent(service_mean, now)
     }
 
     /// Returns the expected processing time of a request at this upstream.
     #[must_use]
-    pub fn work(&self, service: seconds::Seconds, now: Instant) -> seconds::Seconds {
-        seconds::Seconds(service.0 * self.work.get(now))
+    pub fn work(&self, service_mean: seconds::Seconds, now: Instant) -> seconds::Seconds {
+        seconds::Seconds(service_mean.0 * self.processing_time_ratio.get(now))
     }
 
     /// Returns the weighted share of failed attempts, from 0 to 1.
@@ -109,7 +114,7 @@
         self.failures.get(now)
     }
 
-    fn is_silent(&self, service: seconds::Seconds, now: Instant) -> bool {
-        self.silence.is_suspect(self.work(service, now), now)
+    fn is_silent(&self, service_mean: seconds::Seconds, now: Instant) -> bool {
+        self.silence.is_suspect(self.work(service_mean, now), now)
     }
 }
--- a/crates/steer/src/dispatch/leaving.rs
+++ b/crates/steer/src/dispatch/leaving.rs
@@ -96,7 +96,7 @@
     /// Returns the announcements that are due for this node's own observations.
     pub fn report(&mut self, now: Instant) -> Vec<Announcement> {
         let own = self.observed.iter().filter(|(_, observed)| observed.by.is_none());
-        self.announcer.due(own, now)
+        self.announcer.take_due(own, now)
     }
 
     /// Returns the announcements of the `includes` nodes that `announcer` still has to forward.
@@ -108,7 +108,7 @@
     ) -> Vec<Announcement> {
         announcer.retain(&self.observed);
         let included = self.observed.iter().filter(|(_, o)| o.by.as_ref().is_some_and(&includes));
-        announcer.due(included, now)
+        announcer.take_due(included, now)
     }
 
     /// Removes processes that service discovery has not listed for the retention time.
@@ -130,7 +130,7 @@
     }
 
     /// Returns the announcements that have not been repeated often enough, and counts them.
-    fn due<'a>(
+    fn take_due<'a>(
         &mut self,
         observed: impl Iterator<Item = (&'a incarnation::Incarnation, &'a Observation)>,
         now: Instant,
--- a/crates/steer/src/dispatch/reported_load.rs
+++ b/crates/steer/src/dispatch/reported_load.rs
@@ -22,16 +22,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     in_flight: u32,
-    peers: u32,
-    others: f64,
-    reported: Instant,
+    peer_requests: u32,
+    other_requests: f64,
+    reported_at: Instant,
 }
 
 impl Load {
     /// Creates a load of zero.
     #[must_use]
     pub fn new(now: Instant) -> Self {
-        Self { in_flight: 0, peers: 0, others: 0.0, reported: now }
+        Self { in_flight: 0, peer_requests: 0, other_requests: 0.0, reported_at: now }
     }
 
     /// Returns the number of this node's requests in flight.
@@ -52,33 +52,33 @@
 
     /// Sets how many requests other nodes have in flight.
     pub fn set_peers(&mut self, requests: u32) {
-        self.peers = requests;
+        self.peer_requests = requests;
     }
 
     /// Records the load reported in a response, after the end of the response's own request.
     pub fn record_report(&mut self, load: load::Report, now: Instant) {
         let all = f64::from(load.running + load.waiting);
-        self.others = (all - f64::from(self.in_flight)).max(0.0);
-        self.reported = now;
+        self.other_requests = (all - f64::from(self.in_flight)).max(0.0);
+        self.reported_at = now;
     }
 
     /// Records that the upstream refused a request because it is full.
     pub fn record_full(&mut self, slots: u32, now: Instant) {
-        self.others = self.others.max(f64::from(slots) * FULL_FACTOR);
-        self.reported = now;
+        self.other_requests = self.other_requests.max(f64::from(slots) * FULL_FACTOR);
+        self.reported_at = now;
     }
 
     /// Returns the age of the latest reported load.
     #[must_use]
     pub fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.reported)
+        now.saturating_duration_since(self.reported_at)
     }
 
     /// Returns the estimated number of requests; a reported load decays with its age.
     #[must_use]
     pub fn requests(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.reported).as_secs_f64();
-        let others = self.others * (-age / DECAY_TIME.as_secs_f64()).exp();
-        f64::from(self.in_flight) + others.max(f64::from(self.peers))
+        let age = now.saturating_duration_since(self.reported_at).as_secs_f64();
+        let other_requests = self.other_requests * (-age / DECAY_TIME.as_secs_f64()).exp();
+        f64::from(self.in_flight) + other_requests.max(f64::from(self.peer_requests))
     }
 }
--- a/crates/steer/src/dispatch/silence.rs
+++ b/crates/steer/src/dispatch/silence.rs
@@ -41,11 +41,12 @@
         }
     }
 
-    /// Returns whether the silence is too long for an upstream with processing time `work`.
+    /// Returns whether the silence is too long for an upstream with this processing time.
     #[must_use]
-    pub fn is_suspect(&self, work: seconds::Seconds, now: Instant) -> bool {
+    pub fn is_suspect(&self, processing_time: seconds::Seconds, now: Instant) -> bool {
         let Some(since) = self.since else { return false };
-        let limit = (work.0 * SUSPECT_PROCESSING_TIMES).max(MIN_SUSPECT_SILENCE.as_secs_f64());
+        let limit =
+            (processing_time.0 * SUSPECT_PROCESSING_TIMES).max(MIN_SUSPECT_SILENCE.as_secs_f64());
         now.saturating_duration_since(since).as_secs_f64() > limit
     }
 }
--- a/crates/steer/src/dispatch/work_time.rs
+++ b/crates/steer/src/dispatch/work_time.rs
@@ -1,9 +1,9 @@
 //! Processing time of one upstream, relative to the usual one of its service.
 //!
 //! [`expected_work`] estimates the usual processing time, which depends on whether the upstream has
-//! seen the object. Because the estimate here is a ratio, it is not distorted by objects that are new
-//! to the upstream. A slow upstream becomes more expensive in [`selection`], and is tried again as the
-//! estimate decays.
+//! seen the object. Because the estimate here is a ratio, it is not distorted by objects that are
+//! new to the upstream. A slow upstream becomes more expensive in [`selection`], and is tried again
+//! as the estimate decays.
 //!
 //! [`expected_work`]: crate::dispatch::expected_work
 //! [`selection`]: crate::dispatch::selection
@@ -22,24 +22,29 @@
 
 /// Ratio of one upstream's processing time to the usual one of its service.
 #[derive(Clone, Copy, Debug)]
-pub struct WorkTime {
+pub struct ProcessingTimeRatio {
     ratio: f64,
     updated: Instant,
 }
 
-impl WorkTime {
+impl ProcessingTimeRatio {
     /// Creates an estimate of 1.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self { ratio: 1.0, updated: now }
     }
 
-    /// Records a response with processing time `work`, where the service usually needs `expected`.
-    pub fn record(&mut self, work: seconds::Seconds, expected: seconds::Seconds, now: Instant) {
+    /// Records the processing time of a response; `expected` is the usual one of the service.
+    pub fn record(
+        &mut self,
+        processing_time: seconds::Seconds,
+        expected: seconds::Seconds,
+        now: Instant,
+    ) {
         if expected.0 <= 0.0 {
             return;
         }
-        let ratio = work.0 / expected.0;
+        let ratio = processing_time.0 / expected.0;
         let previous = self.get(now);
         self.ratio = previous + (ratio - previous) * RESPONSE_WEIGHT;
         self.updated = now;
--- a/crates/steer/tests/retry.rs
+++ b/crates/steer/tests/retry.rs
@@ -78,7 +78,7 @@
 fn refused_request_is_retried_within_attempt_limit_body_and_budget() {
     let now = Instant::now();
     let route = route(route::Kind::NonIdempotent, 2);
-    let turned_away = retry::Next::GiveUp(give_up::Reason::Refused);
+    let refused = retry::Next::GiveUp(give_up::Reason::Refused);
     let mut dispatcher = dispatcher(3, now);
     for outcome in [retry::Outcome::Refused, retry::Outcome::Replaced] {
         let mut progress = retry::Progress::new(&route);
@@ -87,15 +87,15 @@
         assert_eq!(progress.end(outcome.clone(), true, || true), retry::Next::Retry);
         let second = send(&mut progress, &mut dispatcher, &route, now).expect("two are left");
         assert!(!second.is_first && second.upstream.id != first.upstream.id);
-        assert_eq!(progress.end(outcome.clone(), true, budget_not_used), turned_away);
+        assert_eq!(progress.end(outcome.clone(), true, budget_not_used), refused);
 
         let mut progress = retry::Progress::new(&route);
         let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
-        assert_eq!(progress.end(outcome.clone(), false, budget_not_used), turned_away);
+        assert_eq!(progress.end(outcome.clone(), false, budget_not_used), refused);
 
         let mut progress = retry::Progress::new(&route);
         let _ = send(&mut progress, &mut dispatcher, &route, now).expect("all are idle");
-        assert_eq!(progress.end(outcome, true, || false), turned_away);
+        assert_eq!(progress.end(outcome, true, || false), refused);
     }
     assert_eq!(give_up::Reason::Refused.retry_after(), Some(Duration::from_millis(60)));
 }
