--- a/crates/steer/src/dispatch/health.rs
+++ b/crates/steer/src/dispatch/health.rs
@@ -104,7 +104,11 @@
 
     /// Returns the expected processing time of a request at this upstream.
     #[must_use]
-    pub fn work(&self, service_mean: seconds::Seconds, now: Instant) -> seconds::Seconds {
+    pub fn processing_time(
+        &self,
+        service_mean: seconds::Seconds,
+        now: Instant,
+    ) -> seconds::Seconds {
         seconds::Seconds(service_mean.0 * self.processing_time_ratio.get(now))
     }
 
@@ -115,6 +119,6 @@
     }
 
     fn is_silent(&self, service_mean: seconds::Seconds, now: Instant) -> bool {
-        self.silence.is_suspect(self.work(service_mean, now), now)
+        self.silence.is_suspect(self.processing_time(service_mean, now), now)
     }
 }
--- a/crates/steer/src/dispatch/selection.rs
+++ b/crates/steer/src/dispatch/selection.rs
@@ -131,7 +131,7 @@
         _ => of_rank,
     };
     let of_failures = 1.0 + upstream.health.failure_rate(now) * FAILURE_COST;
-    let time = upstream.health.work(work.mean(), now).0 * upstream.crowding(now);
+    let time = upstream.health.processing_time(work.mean(), now).0 * upstream.crowding(now);
     Rated {
         entry: sync::Arc::clone(&upstream.entry),
         sight,
--- a/crates/steer/src/dispatch/upstream.rs
+++ b/crates/steer/src/dispatch/upstream.rs
@@ -92,6 +92,6 @@
     /// Returns how long one more request would wait.
     #[must_use]
     pub fn wait(&self, service: seconds::Seconds, now: Instant) -> seconds::Seconds {
-        seconds::Seconds(self.health.work(service, now).0 * (self.crowding(now) - 1.0))
+        seconds::Seconds(self.health.processing_time(service, now).0 * (self.crowding(now) - 1.0))
     }
 }
--- a/crates/steer/tests/selection.rs
+++ b/crates/steer/tests/selection.rs
@@ -64,7 +64,7 @@
                 _ => of_rank,
             };
             let of_failures = 1.0 + u.health.failure_rate(now) * FAILURE_COST;
-            let time = u.health.work(work.mean(), now).0 * u.crowding(now);
+            let time = u.health.processing_time(work.mean(), now).0 * u.crowding(now);
             (*u, u.wait(work.mean(), now).0, time * of_object * of_failures)
         };
         let rated: Vec<_> = ranked.iter().enumerate().map(rate).collect();
