--- a/crates/steer/src/dispatch/mod.rs
+++ b/crates/steer/src/dispatch/mod.rs
@@ -19,6 +19,7 @@
 
 pub mod admission;
 pub mod affinity;
+pub mod attempt;
 pub mod candidate;
 pub mod dispatcher;
 pub mod ejection;
@@ -58,7 +59,6 @@
 pub mod slow_start;
 pub mod slow_start_owner;
 pub mod stop;
-pub mod tried;
 pub mod upstream;
 pub mod upstream_limit;
 pub mod urgency;
--- a/crates/steer/src/dispatch/retry.rs
+++ b/crates/steer/src/dispatch/retry.rs
@@ -1,13 +1,13 @@
 //! Retries: decides whether a request is sent to another upstream after an attempt ended.
 //!
-//! Tracks the progress of one request: the selected upstreams, how each attempt ended ([`tried`])
+//! Tracks the progress of one request: the selected upstreams, how each attempt ended ([`attempt`])
 //! and whether the request may have been executed. [`dispatcher`] selects the upstream of each
 //! attempt, [`retry_budget`] limits retries through the `take_retry` argument, and [`give_up`]
 //! defines the failure reasons. The gateway's `proxy::tries` performs the I/O and reports how each
 //! attempt ended.
 //!
 //! [`retry_budget`]: crate::dispatch::retry_budget
-//! [`tried`]: crate::dispatch::tried
+//! [`attempt`]: crate::dispatch::attempt
 
 use std::sync;
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
 use crate::dispatch::seen_objects;
 use crate::dispatch::urgency;
 
-pub use crate::dispatch::tried::{Attempt, End, Outcome};
+pub use crate::dispatch::attempt::{Attempt, End, Outcome};
 
 /// Number of unreachable upstreams after which a request fails.
 ///
