--- a/crates/steer/src/dispatch/affinity.rs
+++ b/crates/steer/src/dispatch/affinity.rs
@@ -2,9 +2,9 @@
 //!
 //! Owns nothing. Rendezvous hashing: every node ranks alike without agreement, and a share or an upstream
 //! that changes moves the fewest objects. Called by the order of regions and by [`selection`]; relies on
-//! [`expected_work`] for what a run takes where the object was seen.
+//! [`expected_processing_time`] for what a run takes where the object was seen.
 //!
-//! [`expected_work`]: crate::dispatch::expected_work
+//! [`expected_processing_time`]: crate::dispatch::expected_processing_time
 //! [`selection`]: crate::dispatch::selection
 
 use std::cmp;
@@ -12,7 +12,7 @@
 use model::id;
 use xxhash_rust::xxh3;
 
-use crate::dispatch::expected_work;
+use crate::dispatch::expected_processing_time;
 use crate::dispatch::seen_objects;
 
 /// Cost of an object's second upstream, as a multiple of the first one's.
@@ -64,7 +64,7 @@
 
 /// Returns the cost of an upstream that has seen the object and is not its first, as a multiple of the first one's.
 #[must_use]
-pub fn seen_cost(work: expected_work::ProcessingTimes) -> f64 {
+pub fn seen_cost(work: expected_processing_time::ProcessingTimes) -> f64 {
     let first = work.mean_for(seen_objects::Sight::Seen).0.max(f64::EPSILON);
     let elsewhere = work.mean_for(seen_objects::Sight::SeenElsewhere).0;
     SEEN_COST * (elsewhere / first).max(1.0)
--- a/crates/steer/src/dispatch/dispatcher/mod.rs
+++ b/crates/steer/src/dispatch/dispatcher/mod.rs
@@ -20,7 +20,7 @@
 use model::routing;
 
 use crate::common::split;
-use crate::dispatch::expected_work;
+use crate::dispatch::expected_processing_time;
 use crate::dispatch::index;
 use crate::dispatch::lapsed;
 use crate::dispatch::leaving;
@@ -46,7 +46,7 @@
     routing: sync::Arc<routing::Routing>,
     evacuated: collections::BTreeSet<id::Hall>,
     upstreams: index::Index,
-    work: collections::BTreeMap<id::Service, expected_work::ProcessingTimes>,
+    work: collections::BTreeMap<id::Service, expected_processing_time::ProcessingTimes>,
     budgets: collections::BTreeMap<id::Service, retry_budget::Budget>,
     routes: route::Rotations,
     regions: collections::BTreeMap<order::Scope, order::Rotation>,
--- a/crates/steer/src/dispatch/dispatcher/tries.rs
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -7,7 +7,7 @@
 use model::load;
 
 use crate::dispatch::dispatcher::Dispatcher;
-use crate::dispatch::expected_work;
+use crate::dispatch::expected_processing_time;
 use crate::dispatch::outcome;
 use crate::dispatch::region::distance;
 use crate::dispatch::retry_budget;
@@ -109,7 +109,7 @@
 
 /// Records how long a request took without waiting, where its upstream knew as much as `sight` says.
 fn record_time(
-    work: &mut expected_work::ProcessingTimes,
+    work: &mut expected_processing_time::ProcessingTimes,
     distance: &mut distance::Distance,
     region: &id::Region,
     sight: seen_objects::Sight,
--- a/crates/steer/src/dispatch/mod.rs
+++ b/crates/steer/src/dispatch/mod.rs
@@ -12,7 +12,7 @@
 //! [`retry_budget`] (whether it is sent again), [`give_up`] (what its caller is answered).
 //!
 //! What the rules know of an upstream: [`ejection`], [`failure_rate`], [`silence`], [`work_time`] (together
-//! [`health`]), [`slow_start`] and its owner, [`expected_work`], [`reported_load`], [`peer_load`],
+//! [`health`]), [`slow_start`] and its owner, [`expected_processing_time`], [`reported_load`], [`peer_load`],
 //! [`lapsed`] entries, and what it says of itself: [`upstream_limit`], [`leaving`], [`rest`].
 //!
 //! What nodes do for each other and for callers: [`fleet`], and [`stop`] for a planned stop.
@@ -25,7 +25,7 @@
 pub mod ejection;
 pub mod eligibility;
 pub mod execution;
-pub mod expected_work;
+pub mod expected_processing_time;
 pub mod failure_rate;
 pub mod fleet;
 pub mod give_up;
--- a/crates/steer/src/dispatch/seen_objects.rs
+++ b/crates/steer/src/dispatch/seen_objects.rs
@@ -2,10 +2,10 @@
 //!
 //! Owns, for one upstream, the objects of this node's latest answers from it. An upstream works faster on an
 //! object that it has seen lately. Relies on [`affinity`] for what other nodes have probably shown it: all nodes
-//! prefer the same upstreams for an object. [`expected_work`] observes what each case is worth.
+//! prefer the same upstreams for an object. [`expected_processing_time`] observes what each case is worth.
 //!
 //! [`affinity`]: crate::dispatch::affinity
-//! [`expected_work`]: crate::dispatch::expected_work
+//! [`expected_processing_time`]: crate::dispatch::expected_processing_time
 
 use std::collections;
 
--- a/crates/steer/src/dispatch/selection.rs
+++ b/crates/steer/src/dispatch/selection.rs
@@ -17,7 +17,7 @@
 use crate::dispatch::admission;
 use crate::dispatch::affinity;
 use crate::dispatch::candidate;
-use crate::dispatch::expected_work;
+use crate::dispatch::expected_processing_time;
 use crate::dispatch::priority;
 use crate::dispatch::request;
 use crate::dispatch::seconds;
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct Ranking {
     rated: Vec<Rated>,
-    work: expected_work::ProcessingTimes,
+    work: expected_processing_time::ProcessingTimes,
     max_wait: seconds::Seconds,
     /// The request's object; none when it has none.
     object: Option<u64>,
@@ -62,7 +62,7 @@
     pub fn new<'a>(
         eligible: impl Iterator<Item = &'a upstream::Upstream>,
         request: &request::Request<'_>,
-        work: expected_work::ProcessingTimes,
+        work: expected_processing_time::ProcessingTimes,
         urgency: priority::Rank,
         now: Instant,
     ) -> Self {
@@ -106,7 +106,7 @@
 pub fn best<'a>(
     eligible: impl Iterator<Item = &'a upstream::Upstream>,
     request: &request::Request<'_>,
-    work: expected_work::ProcessingTimes,
+    work: expected_processing_time::ProcessingTimes,
     urgency: priority::Rank,
     now: Instant,
 ) -> Option<candidate::Candidate> {
@@ -118,7 +118,7 @@
     upstream: &upstream::Upstream,
     rank: usize,
     request: &request::Request<'_>,
-    work: expected_work::ProcessingTimes,
+    work: expected_processing_time::ProcessingTimes,
     now: Instant,
 ) -> Rated {
     let sight = match request.route.is_sticky {
--- a/crates/steer/src/dispatch/work_time.rs
+++ b/crates/steer/src/dispatch/work_time.rs
@@ -1,11 +1,11 @@
 //! Processing time of one upstream, relative to the usual one of its service.
 //!
-//! [`expected_work`] estimates the usual processing time, which depends on whether the upstream has
+//! [`expected_processing_time`] estimates the usual processing time, which depends on whether the upstream has
 //! seen the object. Because the estimate here is a ratio, it is not distorted by objects that are
 //! new to the upstream. A slow upstream becomes more expensive in [`selection`], and is tried again
 //! as the estimate decays.
 //!
-//! [`expected_work`]: crate::dispatch::expected_work
+//! [`expected_processing_time`]: crate::dispatch::expected_processing_time
 //! [`selection`]: crate::dispatch::selection
 
 use std::time::{Duration, Instant};
--- a/crates/steer/tests/selection.rs
+++ b/crates/steer/tests/selection.rs
@@ -12,8 +12,8 @@
 use rand::RngExt as _;
 use rand::SeedableRng as _;
 use steer::dispatch::{
-    affinity, expected_work, index, priority, request, seconds, seen_objects, selection, upstream,
-    urgency,
+    affinity, expected_processing_time, index, priority, request, seconds, seen_objects, selection,
+    upstream, urgency,
 };
 
 /// Drawn states of a region.
@@ -50,7 +50,7 @@
     pub fn cheapest<'a>(
         ranked: &[&'a upstream::Upstream],
         request: &request::Request<'_>,
-        work: expected_work::ProcessingTimes,
+        work: expected_processing_time::ProcessingTimes,
         now: Instant,
     ) -> Option<(&'a upstream::Upstream, f64)> {
         let rate = |(rank, u): (usize, &&'a upstream::Upstream)| {
@@ -163,7 +163,7 @@
             homes: &route.home_regions,
             urgency: urgency::Urgency::of(&route, None),
         };
-        let work = expected_work::ProcessingTimes::default();
+        let work = expected_processing_time::ProcessingTimes::default();
         let preferred = index.preferred(&service, &region, key).filter(is_eligible);
         let chosen = selection::best(preferred, &request, work, priority::Rank::Alone, now);
 
