--- a/crates/steer/src/dispatch/expected_processing_time.rs
+++ b/crates/steer/src/dispatch/expected_processing_time.rs
@@ -1,10 +1,10 @@
 //! Expected processing time of a service's requests, without queueing.
 //!
 //! Keeps exponentially weighted means and the mean deviation, over all responses and per [`Sight`].
-//! The caller divides the measured latency by the crowding at the time of sending. [`work_time`]
-//! refines the estimate for one upstream.
+//! The caller divides the measured latency by the crowding at the time of sending.
+//! [`processing_time_ratio`] refines the estimate for one upstream.
 //!
-//! [`work_time`]: crate::dispatch::work_time
+//! [`processing_time_ratio`]: crate::dispatch::processing_time_ratio
 
 use crate::dispatch::seconds;
 use crate::dispatch::seen_objects::Sight;
--- a/crates/steer/src/dispatch/health.rs
+++ b/crates/steer/src/dispatch/health.rs
@@ -1,17 +1,17 @@
 //! Passive health checks of one upstream, from the results of its attempts; there are no active
 //! probes.
 //!
-//! Combines [`ejection`], [`failure_rate`], [`silence`] and [`work_time`], and defines which of
-//! them each kind of result changes. `service_mean` is the mean processing time of the upstream's
-//! service.
+//! Combines [`ejection`], [`failure_rate`], [`silence`] and [`processing_time_ratio`], and defines
+//! which of them each kind of result changes. `service_mean` is the mean processing time of the
+//! upstream's service.
 
 use std::time::{Duration, Instant};
 
 use crate::dispatch::ejection;
 use crate::dispatch::failure_rate;
+use crate::dispatch::processing_time_ratio;
 use crate::dispatch::seconds;
 use crate::dispatch::silence;
-use crate::dispatch::work_time;
 
 /// Health state of one upstream.
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +19,7 @@
     ejection: ejection::Ejection,
     failures: failure_rate::FailureRate,
     silence: silence::Silence,
-    processing_time_ratio: work_time::ProcessingTimeRatio,
+    processing_time_ratio: processing_time_ratio::ProcessingTimeRatio,
 }
 
 impl Health {
@@ -30,7 +30,7 @@
             ejection: ejection::Ejection::default(),
             failures: failure_rate::FailureRate::new(now),
             silence: silence::Silence::default(),
-            processing_time_ratio: work_time::ProcessingTimeRatio::new(now),
+            processing_time_ratio: processing_time_ratio::ProcessingTimeRatio::new(now),
         }
     }
 
--- a/crates/steer/src/dispatch/mod.rs
+++ b/crates/steer/src/dispatch/mod.rs
@@ -11,7 +11,7 @@
 //! [`overflow`] (whether it leaves its region), [`admission`] (whether it may wait), [`retry`] and
 //! [`retry_budget`] (whether it is sent again), [`give_up`] (what its caller is answered).
 //!
-//! What the rules know of an upstream: [`ejection`], [`failure_rate`], [`silence`], [`work_time`] (together
+//! What the rules know of an upstream: [`ejection`], [`failure_rate`], [`silence`], [`processing_time_ratio`] (together
 //! [`health`]), [`slow_start`] and its owner, [`expected_processing_time`], [`reported_load`], [`peer_load`],
 //! [`lapsed`] entries, and what it says of itself: [`upstream_limit`], [`leaving`], [`rest`].
 //!
@@ -41,6 +41,7 @@
 pub mod position;
 pub mod preference;
 pub mod priority;
+pub mod processing_time_ratio;
 pub mod quarantine;
 pub mod quota;
 pub mod refusal;
@@ -62,4 +63,3 @@
 pub mod upstream;
 pub mod upstream_limit;
 pub mod urgency;
-pub mod work_time;
