--- a/crates/steer/src/dispatch/affinity.rs
+++ b/crates/steer/src/dispatch/affinity.rs
@@ -14,7 +14,7 @@
 use model::id;
 use xxhash_rust::xxh3;
 
-use crate::dispatch::expected_work;
+use crate::dispatch::expected_processing_time;
 use crate::dispatch::seen_objects;
 
 /// Cost of an object's second upstream, as a multiple of the first one's.
--- a/crates/steer/src/dispatch/dispatcher/mod.rs
+++ b/crates/steer/src/dispatch/dispatcher/mod.rs
@@ -20,7 +20,7 @@
 use model::routing;
 
 use crate::common::split;
-use crate::dispatch::expected_work;
+use crate::dispatch::expected_processing_time;
 use crate::dispatch::index;
 use crate::dispatch::lapsed;
 use crate::dispatch::leaving;
@@ -46,19 +46,19 @@
     routing: sync::Arc<routing::Routing>,
     evacuated: collections::BTreeSet<id::Hall>,
     upstreams: index::Index,
-    work: collections::BTreeMap<id::Service, expected_work::Work>,
+    work: collections::BTreeMap<id::Service, expected_processing_time::ProcessingTimes>,
     budgets: collections::BTreeMap<id::Service, retry_budget::Budget>,
     routes: route::Rotations,
     regions: collections::BTreeMap<order::Scope, order::Rotation>,
     distances: collections::BTreeMap<id::Service, distance::Distance>,
-    peers: peer_load::Peers,
+    peers: peer_load::PeerLoads,
     overflow: overflow::Bucket,
     source: lapsed::Source,
     owners: slow_start_owner::Owners,
     priorities: priority::Priorities,
     limits: upstream_limit::Limits,
-    leavings: leaving::Leavings,
-    rests: rest::Rests,
+    leavings: leaving::LeavingProcesses,
+    rests: rest::RestPeriods,
     max_nodes: usize,
 }
 
@@ -79,14 +79,14 @@
             routes: route::Rotations::default(),
             regions: collections::BTreeMap::new(),
             distances: collections::BTreeMap::new(),
-            peers: peer_load::Peers::default(),
+            peers: peer_load::PeerLoads::default(),
             overflow: overflow::Bucket::default(),
             source: lapsed::Source::default(),
             owners: slow_start_owner::Owners { near, ..slow_start_owner::Owners::default() },
             priorities: priority::Priorities::default(),
             limits,
-            leavings: leaving::Leavings::default(),
-            rests: rest::Rests::default(),
+            leavings: leaving::LeavingProcesses::default(),
+            rests: rest::RestPeriods::default(),
             max_nodes: 1,
         }
     }
--- a/crates/steer/src/dispatch/dispatcher/statements.rs
+++ b/crates/steer/src/dispatch/dispatcher/statements.rs
@@ -144,7 +144,7 @@
 
     /// Returns the leaving processes.
     #[must_use]
-    pub fn leavings(&self) -> &leaving::Leavings {
+    pub fn leavings(&self) -> &leaving::LeavingProcesses {
         &self.leavings
     }
 
--- a/crates/steer/src/dispatch/dispatcher/tries.rs
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -8,7 +8,7 @@
 use model::load;
 
 use crate::dispatch::dispatcher::Dispatcher;
-use crate::dispatch::expected_work;
+use crate::dispatch::expected_processing_time;
 use crate::dispatch::outcome;
 use crate::dispatch::region::distance;
 use crate::dispatch::retry_budget;
@@ -21,7 +21,7 @@
     /// Takes one retry from the budget of `service`; returns false if none is left.
     pub fn may_retry(&mut self, service: &id::Service, now: Instant) -> bool {
         let allowance = self.allowance();
-        self.budgets.entry(service.clone()).or_default().retry(allowance, now)
+        self.budgets.entry(service.clone()).or_default().take_retry(allowance, now)
     }
 
     /// Records the start of an attempt; `is_first` is false for retries.
@@ -32,8 +32,8 @@
         let allowance = self.allowance();
         let Some(upstream) = self.upstreams.get_mut(upstream) else { return 1.0 };
         let crowding = upstream.crowding(now);
-        upstream.health.sent(upstream.load.in_flight(), now);
-        upstream.load.sent();
+        upstream.health.record_sent(upstream.load.in_flight(), now);
+        upstream.load.record_sent();
         let service = &upstream.entry.service;
         if let Some(rate) = slow_start::rate(&self.routing, service)
             && upstream.slow_start.is_cold(now)
@@ -41,7 +41,7 @@
             upstream.slow_start.take(rate, now);
         }
         if is_first {
-            self.budgets.entry(service.clone()).or_default().first_try(allowance, now);
+            self.budgets.entry(service.clone()).or_default().record_first_attempt(allowance, now);
         }
         crowding
     }
@@ -61,7 +61,7 @@
             return;
         }
         let upstream = known;
-        upstream.load.ended();
+        upstream.load.record_end();
         let in_flight = upstream.load.in_flight();
         let work = self.work.entry(upstream.entry.service.clone()).or_default();
         match outcome {
@@ -77,20 +77,20 @@
                 }
                 apply_report(upstream, load, now);
             }
-            outcome::Outcome::TurnedAway { load } => {
-                upstream.health.refused(in_flight, now);
+            outcome::Outcome::Refused { load } => {
+                upstream.health.record_refusal(in_flight, now);
                 apply_report(upstream, load, now);
-                upstream.load.full(upstream.entry.slots, now);
+                upstream.load.record_full(upstream.entry.slots, now);
             }
             outcome::Outcome::Replaced => upstream.is_replaced = true,
             outcome::Outcome::NotSent => upstream.health.unreachable(now),
             // A resting upstream refused the request without proof that it was not executed.
             outcome::Outcome::Broken if upstream.is_resting(now) => {}
-            outcome::Outcome::Broken => upstream.health.broken(now),
-            outcome::Outcome::TimedOut => upstream.health.timed_out(waited, work.mean(), now),
+            outcome::Outcome::Broken => upstream.health.record_broken(now),
+            outcome::Outcome::TimedOut => upstream.health.record_timeout(waited, work.mean(), now),
             outcome::Outcome::Abandoned => {}
         }
-        upstream.health.ended(in_flight);
+        upstream.health.record_end(in_flight);
     }
 
     fn allowance(&self) -> retry_budget::Allowance {
@@ -106,13 +106,13 @@
 
 fn apply_report(upstream: &mut upstream::Upstream, report: Option<load::Report>, now: Instant) {
     if let Some(report) = report {
-        upstream.load.report(report, now);
+        upstream.load.record_report(report, now);
     }
 }
 
 /// Records the processing time of a request, without queueing, for the given `familiarity`.
 fn record_time(
-    work: &mut expected_work::Work,
+    work: &mut expected_processing_time::ProcessingTimes,
     distance: &mut distance::Distance,
     region: &id::Region,
     familiarity: seen_objects::Familiarity,
--- a/crates/steer/src/dispatch/seen_objects.rs
+++ b/crates/steer/src/dispatch/seen_objects.rs
@@ -6,7 +6,7 @@
 //! the processing time of each case.
 //!
 //! [`affinity`]: crate::dispatch::affinity
-//! [`expected_work`]: crate::dispatch::expected_work
+//! [`expected_processing_time`]: crate::dispatch::expected_processing_time
 
 use std::collections;
 
--- a/crates/steer/src/dispatch/selection.rs
+++ b/crates/steer/src/dispatch/selection.rs
@@ -17,7 +17,7 @@
 use crate::dispatch::admission;
 use crate::dispatch::affinity;
 use crate::dispatch::candidate;
-use crate::dispatch::expected_work;
+use crate::dispatch::expected_processing_time;
 use crate::dispatch::priority;
 use crate::dispatch::request;
 use crate::dispatch::seconds;
@@ -120,7 +120,7 @@
     upstream: &upstream::Upstream,
     position: usize,
     request: &request::Request<'_>,
-    work: expected_work::Work,
+    work: expected_processing_time::ProcessingTimes,
     now: Instant,
 ) -> ScoredUpstream {
     let familiarity = match request.route.is_sticky {
--- a/crates/steer/tests/selection.rs
+++ b/crates/steer/tests/selection.rs
@@ -12,8 +12,8 @@
 use rand::RngExt as _;
 use rand::SeedableRng as _;
 use steer::dispatch::{
-    affinity, expected_work, index, priority, request, seconds, seen_objects, selection, upstream,
-    urgency,
+    affinity, expected_processing_time, index, priority, request, seconds, seen_objects, selection,
+    upstream, urgency,
 };
 
 /// Number of randomly generated region states.
@@ -51,7 +51,7 @@
     pub fn cheapest<'a>(
         ranked: &[&'a upstream::Upstream],
         request: &request::Request<'_>,
-        work: expected_work::Work,
+        work: expected_processing_time::ProcessingTimes,
         now: Instant,
     ) -> Option<(&'a upstream::Upstream, f64)> {
         let score = |(rank, u): (usize, &&'a upstream::Upstream)| {
@@ -120,17 +120,17 @@
     let entry = sync::Arc::new(entry(number));
     let mut upstream = upstream::Upstream::new(entry, id::Region::new("north"), now);
     for _ in 0..random.random_range(0..6) {
-        upstream.load.sent();
+        upstream.load.record_sent();
     }
     upstream.load.set_peers(random.random_range(0..8));
     match random.random_range(0..10) {
-        0 => upstream.health.unreachable(now),
-        1 => upstream.health.broken(now),
-        2 => upstream.load.full(4, now),
+        0 => upstream.health.record_unreachable(now),
+        1 => upstream.health.record_broken(now),
+        2 => upstream.load.record_full(4, now),
         3..6 => upstream.objects.record(key),
         6 => {
             let (work, expected) = (seconds::Seconds(0.9), seconds::Seconds(0.3));
-            upstream.health.answered(work, expected, 0, now);
+            upstream.health.record_answer(work, expected, 0, now);
         }
         _ => {}
     }
@@ -166,7 +166,7 @@
             homes: &route.home_regions,
             urgency: urgency::Urgency::of(&route, None),
         };
-        let work = expected_work::Work::default();
+        let work = expected_processing_time::ProcessingTimes::default();
         let preferred = index.preferred(&service, &region, key).filter(is_eligible);
         let chosen = selection::best(preferred, &request, work, priority::Rank::Uncontested, now);
 
