--- a/crates/model/src/check/cap.rs
+++ b/crates/model/src/check/cap.rs
@@ -1,4 +1,4 @@
-//! Rules for caps.
+//! Validation of caps.
 
 use std::collections;
 use std::time::Duration;
@@ -8,26 +8,26 @@
 use crate::id;
 use crate::snapshot;
 
-/// Checks one cap.
-pub(super) fn check(cap: &cap::Cap, next: &snapshot::Snapshot, found: &mut Findings) {
-    let who = format!("cap {}", cap.name);
-    found.expect(id::is_valid(cap.name.as_str()), &who, "name", NAME_RULE);
-    let known = next.services.contains_key(&cap.service);
-    found.expect(known, &who, "service", "expected a declared service");
-    found.expect(cap.share.0 > 0, &who, "share", "expected more than 0 per cent");
-    let window_ok = cap.window >= Duration::from_secs(1);
-    found.expect(window_ok, &who, "window", "expected at least 1s");
-    let lost_ok = cap.lost_share.is_none_or(|lost| lost >= cap.share);
-    found.expect(lost_ok, &who, "lost_share", "expected at least `share`");
+/// Validates one cap.
+pub(super) fn check(cap: &cap::Cap, next: &snapshot::Snapshot, findings: &mut Findings) {
+    let resource = format!("cap {}", cap.name);
+    findings.expect(id::is_valid(cap.name.as_str()), &resource, "name", NAME_RULE);
+    let is_declared = next.services.contains_key(&cap.service);
+    findings.expect(is_declared, &resource, "service", "expected a declared service");
+    findings.expect(cap.share.0 > 0, &resource, "share", "expected more than 0 per cent");
+    let window_is_valid = cap.window >= Duration::from_secs(1);
+    findings.expect(window_is_valid, &resource, "window", "expected at least 1s");
+    let lost_share_is_valid = cap.lost_share.is_none_or(|lost| lost >= cap.share);
+    findings.expect(lost_share_is_valid, &resource, "lost_share", "expected at least `share`");
 }
 
-/// Checks that at most one cap binds each service.
-pub(super) fn check_one_a_service(next: &snapshot::Snapshot, found: &mut Findings) {
-    let mut owners = collections::BTreeMap::new();
+/// Checks that each service has at most one cap.
+pub(super) fn check_one_per_service(next: &snapshot::Snapshot, findings: &mut Findings) {
+    let mut cap_by_service = collections::BTreeMap::new();
     for stored in next.caps.values() {
-        if let Some(other) = owners.insert(&stored.spec.service, &stored.spec.name) {
-            let who = format!("cap {}", stored.spec.name);
-            found.add(&who, "service", format!("cap {other} binds the same service"));
+        if let Some(other) = cap_by_service.insert(&stored.spec.service, &stored.spec.name) {
+            let resource = format!("cap {}", stored.spec.name);
+            findings.add(&resource, "service", format!("cap {other} binds the same service"));
         }
     }
 }
--- a/crates/model/src/check/drain.rs
+++ b/crates/model/src/check/drain.rs
@@ -1,4 +1,5 @@
-//! Rules for planned drains: time enough under the cap, and room for the work that stays.
+//! Validation of drains: traffic must be able to leave in time under the cap, and the remaining
+//! slots must be sufficient.
 
 use std::collections;
 use std::time::Duration;
@@ -12,56 +13,63 @@
 use crate::snapshot;
 use crate::upstream;
 
-/// A drain with what it is checked against.
+/// A drain together with the state that it is validated against.
 #[derive(Clone, Copy)]
-struct Context<'a> {
+struct DrainCheck<'a> {
     drain: &'a drain::Drain,
     next: &'a snapshot::Snapshot,
     facts: &'a facts::Facts,
-    /// The drain, as problems name it.
-    who: &'a str,
+    /// Kind and name of the drain, as used in problems.
+    resource: &'a str,
 }
 
-/// Checks one drain; `is_changed` unless it stands as it was accepted before.
+/// Validates one drain.
+///
+/// `is_changed` is false for a drain that was accepted earlier and has not been modified since.
 pub(super) fn check(
     drain: &drain::Drain,
     next: &snapshot::Snapshot,
     facts: &facts::Facts,
     is_changed: bool,
-    found: &mut Findings,
+    findings: &mut Findings,
 ) {
-    let who = format!("drain {}", drain.name);
-    found.expect(id::is_valid(drain.name.as_str()), &who, "name", NAME_RULE);
-    found.expect(drain.start < drain.end, &who, "end", "expected an end after the start");
+    let resource = format!("drain {}", drain.name);
+    findings.expect(id::is_valid(drain.name.as_str()), &resource, "name", NAME_RULE);
+    findings.expect(drain.start < drain.end, &resource, "end", "expected an end after the start");
     let services = next.services.values().map(|s| &*s.spec);
-    let hit: Vec<&service::Service> =
+    let affected: Vec<&service::Service> =
         services.filter(|s| s.upstreams.iter().any(|u| drain.target.holds(u))).collect();
-    found.expect(!hit.is_empty(), &who, "target", "expected a target that holds upstreams");
-    // A drain that was accepted earlier is not refused again because time went on.
+    findings.expect(
+        !affected.is_empty(),
+        &resource,
+        "target",
+        "expected a target that holds upstreams",
+    );
+    // An accepted drain must not become invalid just because time has passed.
     if !is_changed {
         return;
     }
-    found.expect(facts.wall < drain.end, &who, "end", "expected an end in the future");
-    let context = Context { drain, next, facts, who: &who };
-    for service in hit {
-        check_time(&context, service, found);
-        check_room(&context, service, found);
+    findings.expect(facts.wall < drain.end, &resource, "end", "expected an end in the future");
+    let check = DrainCheck { drain, next, facts, resource: &resource };
+    for service in affected {
+        check_lead_time(&check, service, findings);
+        check_capacity(&check, service, findings);
     }
 }
 
-/// Refuses a drain whose shift the service's cap does not allow before the start.
+/// Checks that the service's cap allows the traffic to leave before the drain starts.
 ///
-/// A drain of a region moves all of its traffic. One of a part of it moves what the rest of that
-/// region cannot hold.
-fn check_time(context: &Context<'_>, service: &service::Service, found: &mut Findings) {
-    let Context { drain, next, facts, who } = *context;
+/// The drain of a whole region moves all of its traffic. The drain of a part of a region moves only
+/// the traffic that exceeds the remaining slots of that region.
+fn check_lead_time(check: &DrainCheck<'_>, service: &service::Service, findings: &mut Findings) {
+    let DrainCheck { drain, next, facts, resource } = *check;
     let Some(cap) = next.caps.values().map(|c| &c.spec).find(|c| c.service == service.name) else {
         return;
     };
     let Some((region, share)) = share_to_move(drain, service, facts) else { return };
     let needed = cap.time_to_move(share);
-    let left = drain.start.duration_since(facts.wall).unwrap_or_default();
-    if left < needed {
+    let available = drain.start.duration_since(facts.wall).unwrap_or_default();
+    if available < needed {
         let message = format!(
             "cap {} moves {} in {}, so moving {share} of service {} out of region {region} takes \
              {}, but the start is {} away",
@@ -70,20 +78,20 @@
             humantime::format_duration(cap.window),
             service.name,
             humantime::format_duration(needed),
-            humantime::format_duration(Duration::from_secs(left.as_secs())),
+            humantime::format_duration(Duration::from_secs(available.as_secs())),
         );
-        found.add(who, "start", message);
+        findings.add(resource, "start", message);
     }
 }
 
-/// Returns the region that must lose the greatest share of its traffic, with that share.
+/// Returns the region that must give up the greatest share of its traffic, and that share.
 fn share_to_move(
     drain: &drain::Drain,
     service: &service::Service,
     facts: &facts::Facts,
 ) -> Option<(id::Region, fraction::Fraction)> {
-    let empty = facts::Use::new();
-    let in_use = facts.in_use.get(&service.name).unwrap_or(&empty);
+    let no_usage = facts::Use::new();
+    let in_use = facts.in_use.get(&service.name).unwrap_or(&no_usage);
     let regions: collections::BTreeSet<&id::Region> =
         service.upstreams.iter().map(|u| &u.region).collect();
     let share = |region: &id::Region| {
@@ -96,29 +104,30 @@
             _ => fraction::Fraction::of(used.saturating_sub(kept), used),
         }
     };
-    let hit = |region: &&id::Region| {
+    let is_affected = |region: &&id::Region| {
         service.upstreams.iter().any(|u| u.region == **region && drain.target.holds(u))
     };
-    let shares = regions.into_iter().filter(hit).map(|region| (region.clone(), share(region)));
+    let shares =
+        regions.into_iter().filter(is_affected).map(|region| (region.clone(), share(region)));
     shares.max_by_key(|(_, share)| *share).filter(|(_, share)| share.0 > 0)
 }
 
-/// Refuses a drain that leaves too few slots for the work that runs now, other drains counted.
-fn check_room(context: &Context<'_>, service: &service::Service, found: &mut Findings) {
-    let Context { drain, next, facts, who } = *context;
+/// Checks that the slots that no overlapping drain covers are sufficient for the current usage.
+fn check_capacity(check: &DrainCheck<'_>, service: &service::Service, findings: &mut Findings) {
+    let DrainCheck { drain, next, facts, resource } = *check;
     let drains = next.drains.values().map(|d| &*d.spec);
-    let together: Vec<&drain::Drain> = drains.filter(|d| d.overlaps(drain)).collect();
-    let drained = |u: &&upstream::Upstream| together.iter().any(|d| d.target.holds(u));
-    let all: u32 = service.upstreams.iter().map(|u| u.slots).sum();
-    let gone: u32 = service.upstreams.iter().filter(drained).map(|u| u.slots).sum();
-    let left = all - gone;
+    let overlapping: Vec<&drain::Drain> = drains.filter(|d| d.overlaps(drain)).collect();
+    let is_drained = |u: &&upstream::Upstream| overlapping.iter().any(|d| d.target.holds(u));
+    let total: u32 = service.upstreams.iter().map(|u| u.slots).sum();
+    let drained: u32 = service.upstreams.iter().filter(is_drained).map(|u| u.slots).sum();
+    let remaining = total - drained;
     let in_use: u32 = facts.in_use.get(&service.name).into_iter().flatten().map(|(_, n)| n).sum();
-    if left == 0 || left < in_use {
+    if remaining == 0 || remaining < in_use {
         let message = format!(
-            "service {} has {all} slots, {gone} would be drained at the same time and {left} \
-             left, but {in_use} are in use",
+            "service {} has {total} slots, {drained} would be drained at the same time and \
+             {remaining} left, but {in_use} are in use",
             service.name
         );
-        found.add(who, "target", message);
+        findings.add(resource, "target", message);
     }
 }
--- a/crates/model/src/check/facts.rs
+++ b/crates/model/src/check/facts.rs
@@ -1,24 +1,24 @@
-//! What a check needs to know beside the declarations.
+//! Runtime state that validation depends on in addition to the declarations.
 
 use std::collections;
 use std::time::SystemTime;
 
 use crate::id;
 
-/// What a check needs to know beside the declarations.
+/// Runtime state that validation depends on in addition to the declarations.
 #[derive(Clone, Debug)]
 pub struct Facts {
-    /// The time of day.
+    /// Current wall-clock time.
     pub wall: SystemTime,
-    /// Slots in use by each service in each region, as last measured.
+    /// Slots in use by service and region, as last measured.
     pub in_use: collections::BTreeMap<id::Service, Use>,
 }
 
-/// Slots in use by region.
+/// Number of slots in use, by region.
 pub type Use = collections::BTreeMap<id::Region, u32>;
 
 impl Facts {
-    /// Makes facts without any measurement.
+    /// Creates the state for a time without any measured usage.
     #[must_use]
     pub fn at(wall: SystemTime) -> Self {
         Self { wall, in_use: collections::BTreeMap::new() }
--- a/crates/model/src/check/findings.rs
+++ b/crates/model/src/check/findings.rs
@@ -1,18 +1,19 @@
-//! Problems that a check collects, so that an operator sees all of them at once.
+//! Collects the problems of a configuration, so that an operator sees all of them at once.
 
 use crate::refusal;
 
-/// Rule for names, as a problem words it.
+/// Message for an invalid name.
 pub(super) const NAME_RULE: &str = "expected 1 to 63 letters, digits, `-`, `_` or `.`";
 
-/// Problems found so far.
+/// The problems found so far.
 #[derive(Debug, Default)]
 pub(super) struct Findings {
-    /// The problems, in the order of the checks.
+    /// Problems in the order in which they were found.
     pub(super) problems: Vec<refusal::Problem>,
 }
 
 impl Findings {
+    /// Adds a problem with a field of a resource.
     pub(super) fn add(&mut self, resource: &str, field: &str, message: String) {
         self.problems.push(refusal::Problem {
             resource: resource.to_owned(),
@@ -21,8 +22,9 @@
         });
     }
 
-    pub(super) fn expect(&mut self, holds: bool, resource: &str, field: &str, message: &str) {
-        if !holds {
+    /// Adds a problem unless `is_valid`.
+    pub(super) fn expect(&mut self, is_valid: bool, resource: &str, field: &str, message: &str) {
+        if !is_valid {
             self.add(resource, field, message.to_owned());
         }
     }
--- a/crates/model/src/check/mod.rs
+++ b/crates/model/src/check/mod.rs
@@ -1,7 +1,7 @@
-//! Rules that an accepted configuration keeps, within a resource and across resources.
+//! Validation of a configuration, within each resource and across resources.
 //!
-//! A file for each kind of resource. Every rule that does not hold is collected in
-//! `findings`, so that an operator sees all problems of a change at once.
+//! There is one module per kind of resource. All violations are collected in `findings`, so that an
+//! operator sees every problem of a change at once.
 
 mod cap;
 mod drain;
@@ -18,50 +18,50 @@
 use crate::refusal;
 use crate::snapshot;
 
-/// Longest deadline a service may declare; owners wait that long after a hand-over in doubt.
-pub const LONGEST_DEADLINE: Duration = Duration::from_secs(60);
+/// Maximum deadline of a service. After a handover whose outcome is unknown, owners wait this long.
+pub const MAX_DEADLINE: Duration = Duration::from_secs(60);
 
-/// Checks `next`, which is to follow `previous`.
+/// Validates `next`, which is to replace `previous`.
 ///
 /// # Errors
 ///
-/// Refuses with every rule that does not hold.
+/// Returns [`refusal::Refusal::Invalid`] with all violations.
 pub fn check(
     next: &snapshot::Snapshot,
     previous: &snapshot::Snapshot,
     facts: &facts::Facts,
 ) -> Result<(), refusal::Refusal> {
-    let mut found = findings::Findings::default();
+    let mut findings = findings::Findings::default();
     for stored in next.services.values() {
-        service::check(&stored.spec, &mut found);
+        service::check(&stored.spec, &mut findings);
     }
-    service::check_hosts(next, &mut found);
+    service::check_hosts(next, &mut findings);
     for stored in next.places.values() {
-        place::check(&stored.spec, &mut found);
+        place::check(&stored.spec, &mut findings);
     }
-    place::check_blocks(next, &mut found);
+    place::check_blocks(next, &mut findings);
     for stored in next.caps.values() {
-        cap::check(&stored.spec, next, &mut found);
+        cap::check(&stored.spec, next, &mut findings);
     }
-    cap::check_one_a_service(next, &mut found);
+    cap::check_one_per_service(next, &mut findings);
     for stored in next.drains.values() {
         let is_changed =
             previous.drains.get(&stored.spec.name).map(|s| s.revision) != Some(stored.revision);
-        drain::check(&stored.spec, next, facts, is_changed, &mut found);
+        drain::check(&stored.spec, next, facts, is_changed, &mut findings);
     }
     for stored in next.routes.values() {
-        route::check(&stored.spec, next, &mut found);
+        route::check(&stored.spec, next, &mut findings);
     }
-    route::check_unique(next, &mut found);
+    route::check_unique(next, &mut findings);
     for stored in next.evacuations.values() {
-        evacuation::check(&stored.spec, next, &mut found);
+        evacuation::check(&stored.spec, next, &mut findings);
     }
     for stored in next.organisations.values() {
-        organisation::check(&stored.spec, next, &mut found);
+        organisation::check(&stored.spec, next, &mut findings);
     }
-    organisation::check_keys(next, &mut found);
-    match found.problems.is_empty() {
+    organisation::check_keys(next, &mut findings);
+    match findings.problems.is_empty() {
         true => Ok(()),
-        false => Err(refusal::Refusal::Invalid { problems: found.problems }),
+        false => Err(refusal::Refusal::Invalid { problems: findings.problems }),
     }
 }
