--- a/crates/model/src/acceptance.rs
+++ b/crates/model/src/acceptance.rs
@@ -1,16 +1,16 @@
-//! Acceptance: the snapshot that follows another after a change, checked as a whole.
+//! Applies a change to a snapshot and validates the result as a whole.
 
 use crate::change;
 use crate::check;
 use crate::refusal;
 use crate::snapshot;
 
-/// Returns the snapshot that follows `previous` after `change`.
+/// Applies `change` to `previous` and returns the next snapshot.
 ///
 /// # Errors
 ///
-/// Refuses when the expected revision does not stand, a resource to delete is missing, or a rule
-/// fails.
+/// Returns a [`refusal::Refusal`] if the expected revision is not the current one, a resource to
+/// delete does not exist, or the result violates a rule of [`crate::check`].
 pub fn apply(
     previous: &snapshot::Snapshot,
     change: &change::Change,
@@ -25,9 +25,9 @@
     let mut next = previous.clone();
     next.revision = previous.revision.next();
     for step in &change.steps {
-        next.take(step)?;
+        next.apply_step(step)?;
     }
     check::check(&next, previous, facts)?;
-    next.remember(&change.operation);
+    next.record_operation(&change.operation);
     Ok(next)
 }
--- a/crates/model/src/blocks.rs
+++ b/crates/model/src/blocks.rs
@@ -1,6 +1,7 @@
-//! The table from a caller's address to its place.
+//! Lookup table from a caller's IP address to its place.
 //!
-//! Owns a prefix table built from the places of one snapshot; a new snapshot needs a new table.
+//! A table is built from the places of one snapshot and is not updated; a new snapshot needs a new
+//! table.
 
 use std::fmt;
 use std::net;
@@ -10,16 +11,16 @@
 use crate::id;
 use crate::place;
 
-/// Client blocks of all places, found by longest prefix.
+/// The client blocks of all places, indexed for longest-prefix match.
 #[derive(Clone, Default)]
 pub struct Table {
-    four: PrefixMap<ipnet::Ipv4Net, u32>,
-    six: PrefixMap<ipnet::Ipv6Net, u32>,
+    ipv4: PrefixMap<ipnet::Ipv4Net, u32>,
+    ipv6: PrefixMap<ipnet::Ipv6Net, u32>,
     places: Vec<id::Place>,
 }
 
 impl Table {
-    /// Builds the table of `places`.
+    /// Builds the table from the client blocks of `places`.
     #[must_use]
     pub fn new<'a>(places: impl Iterator<Item = &'a place::Place>) -> Self {
         let mut table = Self::default();
@@ -29,12 +30,12 @@
         table
     }
 
-    /// Returns the place of the longest block that holds `address`.
+    /// Returns the place of the most specific block that contains `address`.
     #[must_use]
     pub fn find(&self, address: net::IpAddr) -> Option<&id::Place> {
         let index = match address.to_canonical() {
-            net::IpAddr::V4(four) => self.four.get_lpm(&ipnet::Ipv4Net::from(four))?.1,
-            net::IpAddr::V6(six) => self.six.get_lpm(&ipnet::Ipv6Net::from(six))?.1,
+            net::IpAddr::V4(ipv4) => self.ipv4.get_lpm(&ipnet::Ipv4Net::from(ipv4))?.1,
+            net::IpAddr::V6(ipv6) => self.ipv6.get_lpm(&ipnet::Ipv6Net::from(ipv6))?.1,
         };
         self.places.get(usize::try_from(*index).ok()?)
     }
@@ -42,10 +43,10 @@
     /// Returns the number of blocks.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.four.len() + self.six.len()
+        self.ipv4.len() + self.ipv6.len()
     }
 
-    /// Returns whether no block is known.
+    /// Returns whether the table has no blocks.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -56,8 +57,8 @@
         self.places.push(place.name.clone());
         for block in &place.blocks {
             match block {
-                ipnet::IpNet::V4(four) => self.four.insert(four.trunc(), index),
-                ipnet::IpNet::V6(six) => self.six.insert(six.trunc(), index),
+                ipnet::IpNet::V4(ipv4) => self.ipv4.insert(ipv4.trunc(), index),
+                ipnet::IpNet::V6(ipv6) => self.ipv6.insert(ipv6.trunc(), index),
             };
         }
     }
--- a/crates/model/src/bounds.rs
+++ b/crates/model/src/bounds.rs
@@ -1,32 +1,34 @@
-//! Bounds that a deployment sets for the whole fleet.
+//! Fleet-wide limits on recovery, shutdown, caching, retries, traffic shifts and quotas.
 //!
-//! Decoded from a gateway's settings; every gateway of a fleet must be given the same ones. The defaults
-//! are conservative choices for a deployment whose settings are silent; none was measured.
+//! They are decoded from a gateway's settings, and every gateway of a fleet must have the same
+//! values. The defaults are conservative and apply where the settings leave a value out.
 
 use std::time::Duration;
 
-/// Bounds that a deployment sets for the whole fleet.
+/// Limits that a deployment sets for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Time after the end of a trouble from which a node is held to the other bounds.
+    /// Time after the end of a failure within which a node must comply with the other bounds again.
     ///
-    /// All waits at the store are shares of it.
+    /// All waits for the store are fractions of this time.
     pub contact: Duration,
-    /// Longest time for which a leaving upstream may get new requests, from when a node knows.
+    /// Longest time for which a leaving upstream may still get new requests, counted from when a
+    /// node learns that it leaves.
     pub drain: Duration,
-    /// Time from SIGTERM to SIGKILL in a planned stop.
+    /// Time between SIGTERM and SIGKILL in a planned stop.
     pub grace: Duration,
-    /// Longest time for which callers may cache a look-up.
+    /// Longest time for which callers may cache a lookup.
     pub lookup_cache: Duration,
-    /// Length of the window in which retries are counted.
+    /// Length of the window over which retries are counted.
     pub retry_window: Duration,
-    /// Retries allowed for each request, over the fleet.
+    /// Retries allowed per request, over the whole fleet.
     pub retry_ratio: f64,
-    /// Retries allowed beside those, over the fleet and in one window.
+    /// Additional retries allowed per window, over the whole fleet.
     pub retry_slack: f64,
-    /// Greatest share of a region's requests that may change region within a short window.
+    /// Greatest share of a region's requests that may move to other regions within a short window.
     pub greatest_shift: f64,
-    /// Requests over its limit that an organisation may have, over the fleet and in the window of its limit.
+    /// Requests over its limit that an organisation may send per window of that limit, over the
+    /// whole fleet.
     pub quota_slack: f64,
 }
 
--- a/crates/model/src/change.rs
+++ b/crates/model/src/change.rs
@@ -1,6 +1,6 @@
-//! Changes that an operator asks for.
+//! Configuration changes that operators submit.
 //!
-//! A change is accepted whole or refused whole, see [`crate::acceptance`].
+//! A change is atomic: [`crate::acceptance`] applies all of its steps or none.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,27 +13,28 @@
 pub enum Step {
     /// Creates or replaces a resource.
     Put {
-        /// The resource.
+        /// The new declaration.
         resource: resource::Resource,
     },
     /// Deletes a resource.
     Delete {
-        /// Its kind.
+        /// Kind of the resource.
         kind: resource::Kind,
-        /// Its name.
+        /// Name of the resource.
         name: String,
     },
 }
 
-/// Steps that are accepted together or not at all.
+/// A list of steps that is applied atomically.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The operator's id of the change, to ask about when its answer is lost.
+    /// Id that the operator gives the change; identifies it in a query when the response was lost.
     pub operation: String,
-    /// The revision that the operator has seen; any when absent.
+    /// Revision that the change is based on; the change is refused if it is not the current one.
+    /// Not checked when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expected: Option<revision::Revision>,
-    /// The steps, in order.
+    /// Steps in the order in which they are applied.
     pub steps: Vec<Step>,
 }
--- a/crates/model/src/clock.rs
+++ b/crates/model/src/clock.rs
@@ -1,32 +1,34 @@
-//! The clock, passed in so that tests control time.
+//! Clock abstraction, so that tests can control time.
 
 use std::fmt;
 use std::time::{Duration, Instant, SystemTime};
 
 /// A source of time.
 pub trait Clock: fmt::Debug + Send + Sync {
-    /// Returns a time that never goes back and also counts while the VM is suspended.
+    /// Returns a monotonic time that also advances while the VM is suspended.
     fn now(&self) -> Instant;
 
-    /// Returns the time of day, which may jump; only drains' dates and deadlines on the wire use it.
+    /// Returns the wall-clock time, which may jump. Use it only for the dates of drains and for
+    /// deadlines on the wire.
     fn wall(&self) -> SystemTime;
 }
 
 /// The operating system's clock.
 ///
-/// `Instant` alone stands still while a VM is suspended, so a node that wakes would believe its
-/// leases still valid. The boot-time clock counts the suspension.
+/// `Instant` alone does not advance while a VM is suspended, so a node that resumes would consider
+/// expired leases valid. `CLOCK_BOOTTIME` includes the time of the suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct System {
     origin: Instant,
-    booted: Duration,
+    /// Boot time at `origin`.
+    origin_boot_time: Duration,
 }
 
 impl System {
-    /// Makes a clock that starts now.
+    /// Creates a clock whose origin is the current time.
     #[must_use]
     pub fn new() -> Self {
-        Self { origin: Instant::now(), booted: boot_time() }
+        Self { origin: Instant::now(), origin_boot_time: boot_time() }
     }
 }
 
@@ -38,7 +40,7 @@
 
 impl Clock for System {
     fn now(&self) -> Instant {
-        self.origin + boot_time().saturating_sub(self.booted)
+        self.origin + boot_time().saturating_sub(self.origin_boot_time)
     }
 
     fn wall(&self) -> SystemTime {
@@ -46,6 +48,7 @@
     }
 }
 
+/// Returns the time since boot, including suspensions.
 fn boot_time() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/crates/model/src/discovery.rs
+++ b/crates/model/src/discovery.rs
@@ -1,41 +1,41 @@
 //! Service discovery: the running incarnations of upstreams.
 //!
-//! Owns the type that every source of discovery is decoded into: the platform's entries and
-//! yokespoke's own declarations.
+//! Every source is decoded into the types of this module: the platform's entries and yokespoke's
+//! own declarations.
 
 use std::net;
 use std::time::Duration;
 
 use crate::id;
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It takes new work.
+    /// Accepts new requests.
     Ready,
-    /// It is about to leave and must get no new work.
+    /// About to leave; must not get new requests.
     Draining,
 }
 
-/// One running incarnation of an upstream, as service discovery lists it.
+/// A running incarnation of an upstream as listed by service discovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its name, which no other incarnation shares.
+    /// Name, unique among all incarnations.
     pub id: id::Upstream,
-    /// The service it belongs to.
+    /// Service that the upstream belongs to.
     pub service: id::Service,
-    /// Where it listens.
+    /// Address that the upstream listens on.
     pub address: net::SocketAddr,
-    /// Its hall.
+    /// Hall that the upstream is in.
     pub hall: id::Hall,
-    /// Requests it can run at once.
+    /// Number of requests that the upstream can run concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new requests.
     pub state: State,
-    /// How much longer it is cold, counted from when the entry was written.
+    /// Remaining duration of the cold start, counted from when the entry was written.
     pub cold_left: Duration,
-    /// When it started, in milliseconds since 1970 (UTC); 0 when its source does not say.
+    /// Start time in milliseconds since the Unix epoch; 0 if the source does not give it.
     ///
-    /// An upstream that starts again may keep its name; another start makes it another upstream.
+    /// A restarted upstream may keep its name; a different start time identifies a new incarnation.
     pub born: u64,
 }
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -1,4 +1,6 @@
-//! Declarations as YAML text: several documents a file, each with a `kind`.
+//! Parses declarations and settings from YAML and reports errors by file, line and field.
+//!
+//! A file of declarations may hold several documents, each with a `kind`.
 
 use std::fmt;
 
@@ -6,16 +8,16 @@
 
 use crate::resource;
 
-/// What is wrong in a text of declarations or settings.
+/// An error in a YAML text of declarations or settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The file, or another name for the origin of the text.
+    /// File name, or another description of the source of the text.
     pub file: String,
-    /// The line, from 1; none when it is not known.
+    /// Line number, counted from 1; `None` if unknown.
     pub line: Option<usize>,
-    /// The field, as a path with dots; empty for the whole document.
+    /// Dotted path of the field; empty for the whole document.
     pub field: String,
-    /// What was expected.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -35,11 +37,11 @@
 
 impl std::error::Error for Fault {}
 
-/// Reads one value of `text`; the fault names `file`, line and field.
+/// Deserializes a value from `text`; an error names `file`, the line and the field.
 ///
 /// # Errors
 ///
-/// Fails when the text is not YAML, or a field is unknown, missing or malformed.
+/// Returns an error if the text is not YAML or a field is unknown, missing or malformed.
 pub fn read<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, Fault> {
     let deserializer = serde_yaml_ng::Deserializer::from_str(text);
     serde_path_to_error::deserialize(deserializer).map_err(|error| {
@@ -51,28 +53,28 @@
     })
 }
 
-/// Reads every declaration of `text`.
+/// Parses every declaration in `text`.
 ///
 /// # Errors
 ///
-/// Fails at the first document that is not a declaration.
+/// Returns the error of the first document that is not a valid declaration.
 pub fn read_resources(file: &str, text: &str) -> Result<Vec<resource::Resource>, Fault> {
     split(text)
         .into_iter()
-        .map(|(first, part)| {
-            read_resource(file, &part).map_err(|mut fault| {
-                fault.line = fault.line.map(|line| line + first);
+        .map(|(offset, document)| {
+            read_resource(file, &document).map_err(|mut fault| {
+                fault.line = fault.line.map(|line| line + offset);
                 fault
             })
         })
         .collect()
 }
 
-/// Reads one declaration of `kind`, whose text need not repeat the kind.
+/// Parses one declaration of `kind`; the text may leave out its `kind` field.
 ///
 /// # Errors
 ///
-/// Fails when the text is not a declaration of that kind.
+/// Returns an error if the text is not a valid declaration of that kind.
 pub fn read_kind(
     file: &str,
     kind: resource::Kind,
@@ -98,68 +100,72 @@
         message,
     };
     let value: serde_yaml_ng::Value = read(file, text)?;
-    let word = value.get("kind").and_then(serde_yaml_ng::Value::as_str);
-    let word = word.ok_or_else(|| fault("every declaration starts with its kind".to_owned()))?;
-    let kind = resource::Kind::parse(word).ok_or_else(|| {
-        let words = resource::Kind::ALL.map(resource::Kind::as_str).join(", ");
-        fault(format!("`{word}` is none of {words}"))
+    let name = value.get("kind").and_then(serde_yaml_ng::Value::as_str);
+    let name = name.ok_or_else(|| fault("missing field `kind`".to_owned()))?;
+    let kind = resource::Kind::parse(name).ok_or_else(|| {
+        let names = resource::Kind::ALL.map(resource::Kind::as_str).join(", ");
+        fault(format!("`{name}` is none of {names}"))
     })?;
     read_kind(file, kind, text)
 }
 
-/// Blanks the line of the kind, so that the numbers of later lines stay the same.
+/// Replaces the `kind` line with an empty comment, which keeps the numbers of later lines.
 fn without_kind(text: &str) -> String {
-    let blank = |line: &str| match line.starts_with("kind:") {
+    let strip = |line: &str| match line.starts_with("kind:") {
         true => "#".to_owned(),
         false => line.to_owned(),
     };
-    text.lines().map(blank).collect::<Vec<_>>().join("\n")
+    text.lines().map(strip).collect::<Vec<_>>().join("\n")
 }
 
-/// Splits a text at its `---` lines; each part comes with the lines before it.
+/// Splits a text at its `---` lines and returns each document with its line offset.
+///
+/// Documents of blank lines and comments only are left out.
 fn split(text: &str) -> Vec<(usize, String)> {
-    let mut parts = vec![(0, String::new())];
+    let mut documents = vec![(0, String::new())];
     for (number, line) in text.lines().enumerate() {
-        match parts.last_mut() {
-            Some((_, part)) if line.trim_end() != "---" => {
-                part.push_str(line);
-                part.push('\n');
+        match documents.last_mut() {
+            Some((_, document)) if line.trim_end() != "---" => {
+                document.push_str(line);
+                document.push('\n');
             }
-            _ => parts.push((number + 1, String::new())),
+            _ => documents.push((number + 1, String::new())),
         }
     }
-    let blank = |line: &str| line.trim().is_empty() || line.trim_start().starts_with('#');
-    parts.retain(|(_, part)| !part.lines().all(blank));
-    parts
+    let is_blank = |line: &str| line.trim().is_empty() || line.trim_start().starts_with('#');
+    documents.retain(|(_, document)| !document.lines().all(is_blank));
+    documents
 }
 
-/// Returns the line of a field, since the YAML library reports that of the mapping around it.
+/// Returns the line of the field at `path`.
 ///
-/// Follows the path's keys and indices down the lines, as block and one-line items are written.
+/// The YAML library reports the line of the enclosing mapping instead. The search follows the keys
+/// and indices of the path through block-style and single-line items.
 fn line_of(text: &str, path: &str) -> Option<usize> {
     let path = path.replace('[', ".[");
     let mut lines = text.lines().enumerate().peekable();
     let mut found = None;
     for segment in path.split('.').filter(|segment| !segment.is_empty()) {
         let index = segment.strip_prefix('[').and_then(|s| s.strip_suffix(']')?.parse().ok());
-        let mut left = index.unwrap_or(0);
+        let mut items_to_skip = index.unwrap_or(0);
         loop {
             let (number, line) = lines.peek()?;
-            let is_hit = match index {
+            let is_match = match index {
                 Some(_) => line.trim_start().starts_with('-'),
                 None => has_key(line, segment),
             };
-            match (is_hit, left) {
+            match (is_match, items_to_skip) {
                 (true, 0) => {
                     found = Some(number + 1);
                     break;
                 }
-                (true, _) => left -= 1,
+                (true, _) => items_to_skip -= 1,
                 (false, _) => {}
             }
             lines.next();
         }
-        // The key of an item may stand on the item's own line.
+        // The first key of a list item is on the same line as the item's dash, so the search
+        // continues on that line.
         if index.is_none() {
             lines.next();
         }
@@ -167,13 +173,14 @@
     found
 }
 
+/// Returns whether `key` starts the line, a list item in it or an entry of a flow mapping in it.
 fn has_key(line: &str, key: &str) -> bool {
     let key = format!("{key}:");
     let starts = line.split(['{', ',']).map(|part| part.trim_start_matches([' ', '-']));
     starts.into_iter().any(|part| part.starts_with(&key))
 }
 
-/// Removes the place that the YAML library repeats before and after its message.
+/// Removes the field path and the location that the YAML library adds to its message.
 fn strip_location(message: &str, field: &str) -> String {
     let prefix = format!("{field}: ");
     let message = message.strip_prefix(&prefix).unwrap_or(message);
--- a/crates/model/src/drain.rs
+++ b/crates/model/src/drain.rs
@@ -1,4 +1,4 @@
-//! Drains: planned times in which a part of the fleet gets no work.
+//! Drains: planned periods in which a part of the fleet gets no requests.
 
 use std::time::SystemTime;
 
@@ -7,44 +7,45 @@
 use crate::id;
 use crate::upstream;
 
-/// A planned drain, as its operator declares it.
+/// A planned drain as declared by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// Its name.
+    /// Unique name of the drain.
     pub name: id::Drain,
-    /// What is drained.
+    /// Part of the fleet to drain.
     #[serde(with = "serde_yaml_ng::with::singleton_map")]
     pub target: Target,
-    /// From when the target gets no new work; the shift begins earlier, as the caps ask.
+    /// Time from which the target gets no new requests. Traffic starts to move earlier, at the pace
+    /// that the caps allow.
     #[serde(with = "humantime_serde")]
     pub start: SystemTime,
-    /// When the target may have work again.
+    /// Time from which the target may get requests again.
     #[serde(with = "humantime_serde")]
     pub end: SystemTime,
 }
 
 impl Drain {
-    /// Returns whether the drain holds `upstream` empty at `wall`.
+    /// Returns whether the drain is active at `wall` and `upstream` is part of its target.
     #[must_use]
     pub fn covers(&self, upstream: &upstream::Upstream, wall: SystemTime) -> bool {
         self.is_on(wall) && self.target.holds(upstream)
     }
 
-    /// Returns whether `wall` lies between start and end.
+    /// Returns whether the drain is active at `wall`; the end is exclusive.
     #[must_use]
     pub fn is_on(&self, wall: SystemTime) -> bool {
         self.start <= wall && wall < self.end
     }
 
-    /// Returns whether two drains hold at some common time.
+    /// Returns whether there is a time at which both drains are active.
     #[must_use]
     pub fn overlaps(&self, other: &Self) -> bool {
         self.start < other.end && other.start < self.end
     }
 }
 
-/// What a drain empties.
+/// The part of the fleet that a drain applies to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Target {
@@ -57,7 +58,7 @@
 }
 
 impl Target {
-    /// Returns whether `upstream` belongs to the target.
+    /// Returns whether `upstream` is part of the target.
     #[must_use]
     pub fn holds(&self, upstream: &upstream::Upstream) -> bool {
         match self {
--- a/crates/model/src/epoch.rs
+++ b/crates/model/src/epoch.rs
@@ -1,10 +1,10 @@
-//! Epochs of a region's membership table.
+//! Epochs: versions of a region's membership table.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a region's membership table; a later one is greater.
+/// Version number of a region's membership table; it increases with every rewrite.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -12,7 +12,7 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// Returns the epoch that follows this one.
+    /// Returns the next epoch.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/model/src/evacuation.rs
+++ b/crates/model/src/evacuation.rs
@@ -1,15 +1,15 @@
-//! Evacuations: halls whose upstreams get nothing more, from now until the evacuation is deleted.
+//! Evacuations: halls whose upstreams get no requests until the evacuation is deleted.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id;
 
-/// An evacuation, as its operator declares it.
+/// An evacuation as declared by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Evacuation {
-    /// Its name.
+    /// Unique name of the evacuation.
     pub name: id::Evacuation,
-    /// The hall.
+    /// Hall to evacuate.
     pub hall: id::Hall,
 }
--- a/crates/model/src/fingerprint.rs
+++ b/crates/model/src/fingerprint.rs
@@ -1,8 +1,10 @@
-//! Fingerprints: by which a request is known again when it comes once more, under another id and at any node.
+//! Request fingerprints, which identify repeated requests under different request ids and at any
+//! node.
 //!
-//! Owns what makes two requests the same: what is asked, and who asks it. Both are hashed with SHA-256, so that nobody can make
-//! a request that is taken for somebody else's, and that neither paths nor bodies can be read from what is logged and sent between
-//! nodes. Keys of organisations are no part of it.
+//! Two requests are the same if they have the same content and come from the same caller. Both
+//! parts are hashed with SHA-256: nobody can forge a request with the fingerprint of someone
+//! else's, and neither paths nor bodies can be recovered from logs or from messages between nodes.
+//! Keys of organisations are not part of a fingerprint.
 
 use std::fmt;
 use std::net;
@@ -10,76 +12,77 @@
 
 use sha2::Digest as _;
 
-/// Bytes of the hash of what is asked.
+/// Length of the hash of a request's content.
 const CONTENT_BYTES: usize = 16;
 
-/// Bytes of a hash that is kept as a number.
+/// Leading bytes of a SHA-256 hash that are kept as a 64-bit number.
 const NUMBER_BYTES: usize = 8;
 
-/// Bytes of a body that count, from its beginning: as much as a node always holds of a body that it streams.
+/// Length of the prefix of a body that is hashed. A node always buffers this much of a body that it
+/// streams.
 pub const BODY_BYTES: usize = 64 * 1_024;
 
-/// Stands in texts for any caller.
-const ANY: &str = "any";
+/// Caller part of a [`Scope`] that matches any caller.
+const ANY_CALLER: &str = "any";
 
-/// What a request asks.
+/// The parts of a request that identify its content.
 #[derive(Clone, Copy, Debug)]
 pub struct Asked<'a> {
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Its host.
+    /// Requested host.
     pub host: &'a str,
-    /// Its path, with the query.
+    /// Path and query.
     pub target: &'a str,
-    /// The name of the organisation that sends it.
+    /// Name of the organisation that sends the request.
     pub organisation: Option<&'a str>,
-    /// Its body, the first [`BODY_BYTES`] of a longer one.
+    /// Body, or the first [`BODY_BYTES`] of a longer body.
     pub body: &'a [u8],
-    /// The length that it declares for its body, in bytes.
+    /// Declared length of the body, in bytes.
     pub length: Option<u64>,
 }
 
-/// Who sends a request.
+/// The properties of a caller that identify it.
 #[derive(Clone, Copy, Debug)]
 pub struct Sender {
-    /// The address that its connection comes from.
+    /// Source address of the connection.
     pub address: net::IpAddr,
-    /// Hash of the object that its cookie names.
+    /// Hash of the object that the caller's cookie names.
     pub object: Option<u64>,
 }
 
-/// Hash of what a request asks but for its body.
+/// Hash of a request's content without its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Head(u64);
 
-/// Hash of what a request asks.
+/// Hash of a request's content.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Content {
     head: Head,
     body: u64,
 }
 
-/// Hash of who sends a request.
+/// Hash of the caller that sends a request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Caller(u64);
 
-/// By which a request is known again.
+/// Identifies a request by content and caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint {
-    /// What is asked.
+    /// Hash of the content.
     pub content: Content,
-    /// Who asks.
+    /// Hash of the caller.
     pub caller: Caller,
 }
 
 impl Fingerprint {
-    /// Returns the fingerprint of a request.
+    /// Computes the fingerprint of a request.
     #[must_use]
     pub fn of(asked: &Asked<'_>, sender: &Sender) -> Self {
         Self { content: Content::of(asked), caller: Caller::of(sender) }
     }
 
-    /// Returns a hash that differs between requests, for spreading them.
+    /// Returns a 64-bit hash for distributing requests over upstreams.
     #[must_use]
     pub fn spread(&self) -> u64 {
         self.content.head.0 ^ self.content.body ^ self.caller.0
@@ -96,7 +99,7 @@
         Self { head, body: first_number(&hash.finalize()) }
     }
 
-    /// Returns the hash whose bytes these are; none for another number of bytes.
+    /// Decodes the hash; returns `None` for a wrong number of bytes.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let bytes: [u8; CONTENT_BYTES] = bytes.try_into().ok()?;
@@ -104,7 +107,7 @@
         Some(Self { head: Head(first_number(head)), body: first_number(body) })
     }
 
-    /// Returns the bytes of the hash.
+    /// Encodes the hash.
     #[must_use]
     pub fn to_bytes(self) -> [u8; CONTENT_BYTES] {
         let mut bytes = [0; CONTENT_BYTES];
@@ -114,7 +117,7 @@
         bytes
     }
 
-    /// Returns the lowest and the highest content whose head this is.
+    /// Returns the range of all contents with this head, for ordered maps and sets.
     #[must_use]
     pub fn range_of(head: Head) -> ops::RangeInclusive<Self> {
         Self { head, body: u64::MIN }..=Self { head, body: u64::MAX }
@@ -122,13 +125,16 @@
 }
 
 impl Asked<'_> {
-    /// Returns the hash of all but the body, by which most requests differ already, at less cost.
+    /// Computes the hash of everything but the body.
+    ///
+    /// Most requests already differ in it, and it is cheaper to compute than the whole content
+    /// hash.
     #[must_use]
     pub fn head(&self) -> Head {
         let mut hash = sha2::Sha256::new();
         let organisation = self.organisation.unwrap_or_default();
         for part in [self.method, self.host, self.target, organisation] {
-            // With the length before each part no two lists of parts are the same bytes.
+            // The length prefix keeps different lists of parts from hashing the same bytes.
             hash.update(part.len().to_be_bytes());
             hash.update(part);
         }
@@ -136,7 +142,7 @@
     }
 }
 
-/// Returns the number that the first eight bytes of a hash make.
+/// Returns the first eight bytes of a hash as a big-endian number.
 fn first_number(hash: &[u8]) -> u64 {
     hash.iter().take(NUMBER_BYTES).fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
@@ -145,20 +151,20 @@
     fn of(sender: &Sender) -> Self {
         let mut hash = sha2::Sha256::new();
         hash.update(sender.address.to_string());
-        // A caller whose cookie names no object is another one than a caller of any object.
+        // A caller without an object hashes differently from a caller with any object.
         if let Some(object) = sender.object {
             hash.update(object.to_be_bytes());
         }
         Self(first_number(&hash.finalize()))
     }
 
-    /// Returns the hash that is this number.
+    /// Creates the hash from its numeric value.
     #[must_use]
     pub fn from_number(number: u64) -> Self {
         Self(number)
     }
 
-    /// Returns the hash as a number.
+    /// Returns the numeric value of the hash.
     #[must_use]
     pub fn as_number(self) -> u64 {
         self.0
@@ -195,22 +201,22 @@
     }
 }
 
-/// The requests that a decision is about: those of one content, of one caller or of any.
+/// The set of requests that a decision applies to: one content, from one caller or from any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Scope {
-    /// What is asked.
+    /// Hash of the content.
     pub content: Content,
-    /// Who asks; none for any caller.
+    /// Hash of the caller; `None` for any caller.
     pub caller: Option<Caller>,
 }
 
 impl Scope {
-    /// Reads a scope as [`fmt::Display`] writes it; none when it is not one.
+    /// Parses the format that [`fmt::Display`] writes; returns `None` for any other text.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let (content, caller) = text.split_once('-')?;
         let caller = match caller {
-            ANY => None,
+            ANY_CALLER => None,
             digits => Some(Caller(parse_hex(digits)?)),
         };
         if content.len() != CONTENT_BYTES * 2 || !content.is_ascii() {
@@ -232,12 +238,12 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.caller {
             Some(caller) => write!(formatter, "{}-{caller}", self.content),
-            None => write!(formatter, "{}-{ANY}", self.content),
+            None => write!(formatter, "{}-{ANY_CALLER}", self.content),
         }
     }
 }
 
-/// Reads sixteen hex digits; none for anything else.
+/// Parses exactly sixteen hex digits; returns `None` for any other text.
 fn parse_hex(digits: &str) -> Option<u64> {
     let is_hex = digits.len() == 16 && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(digits, 16).ok().filter(|_| is_hex)
--- a/crates/model/src/head.rs
+++ b/crates/model/src/head.rs
@@ -1,37 +1,37 @@
-//! Heads of requests and answers, as far as the gateway decides by them.
+//! The parts of request and response heads that a gateway uses for its decisions.
 //!
-//! Owns the types that every set of header names is decoded into: the platform's and yokespoke's own.
-//! Nothing here names a header.
+//! Both sets of header names, the platform's and yokespoke's own, are decoded into these types, so
+//! no header name appears here.
 
 use std::time::Duration;
 
 use crate::key;
 use crate::statement;
 
-/// What the head of a caller's request says.
+/// The decoded head of a caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
-    /// Identifies the caller's try, so that its answer is not taken for another's; empty when absent.
+    /// Id of this attempt, which a response must repeat to be matched with it; empty when absent.
     pub id: &'a str,
-    /// Time that the caller waits, counted from the request's arrival.
+    /// Time for which the caller waits, counted from the arrival of the request.
     pub wait: Option<Duration>,
-    /// Names the object that the request is about; the same on all requests about it.
+    /// Name of the object that the request concerns; requests for the same object share it.
     pub object: Option<&'a str>,
-    /// The key of an organisation, as far as one is given.
+    /// Key of an organisation, if the request carries one.
     pub key: key::Given,
 }
 
-/// What the head of an upstream's answer says.
+/// The decoded head of an upstream's response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Answer<'a> {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The request that it answers, as the upstream names it.
+    /// Id of the request that the upstream says it responds to.
     pub request_id: Option<&'a str>,
-    /// Whether it carries the upstream's mark of a genuine answer.
+    /// Whether the response carries the seal that the upstream adds to genuine responses.
     pub is_sealed: bool,
-    /// Whether the upstream states that it did not run the request.
+    /// Whether the upstream states that it did not execute the request.
     pub states_not_run: bool,
-    /// What the upstream says of itself: load, limit, leaving, rest.
+    /// State that the upstream reports: load, limit, leaving and rest.
     pub statement: statement::Statement,
 }
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of things, one type for each so that none is taken for another.
+//! Typed names, so that names of different kinds cannot be confused.
 
 use std::fmt;
 use std::num;
@@ -6,8 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest name, in bytes: that of a DNS label (RFC 1035, section 2.3.4).
-pub const LONGEST: usize = 63;
+/// Maximum length of a name, that of a DNS label (RFC 1035, section 2.3.4).
+pub const MAX_BYTES: usize = 63;
 
 macro_rules! name {
     ($(#[$doc:meta])* $type:ident) => {
@@ -17,13 +17,13 @@
         pub struct $type(sync::Arc<str>);
 
         impl $type {
-            /// Makes a name of `text` as it stands; [`is_valid`] checks whether it may be declared.
+            /// Creates a name without validation; [`is_valid`] checks whether it may be declared.
             #[must_use]
             pub fn new(text: &str) -> Self {
                 Self(text.into())
             }
 
-            /// Returns the name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -51,51 +51,51 @@
 }
 
 name!(
-    /// A region: halls that are near each other.
+    /// Name of a region: a group of halls that are near each other.
     Region
 );
 name!(
-    /// A hall: a part of a region that can fail by itself.
+    /// Name of a hall: a part of a region that can fail independently.
     Hall
 );
 name!(
-    /// A service that callers ask for.
+    /// Name of a service that callers send requests to.
     Service
 );
 name!(
-    /// An upstream: what runs requests of a service.
+    /// Name of an upstream: a server that runs requests of a service.
     Upstream
 );
 name!(
-    /// A place: client blocks with the same delays.
+    /// Name of a place: client blocks with the same network delays.
     Place
 );
 name!(
-    /// A node: one process of yokespoke on an entry VM.
+    /// Name of a node: one yokespoke process on an entry VM.
     Node
 );
 name!(
-    /// A cap, by the name its operator gave it.
+    /// Name of a cap.
     Cap
 );
 name!(
-    /// A drain, by the name its operator gave it.
+    /// Name of a drain.
     Drain
 );
 name!(
-    /// A route, by the name its operator gave it.
+    /// Name of a route.
     Route
 );
 name!(
-    /// An organisation whose callers send requests under its keys.
+    /// Name of an organisation, whose callers send requests with its keys.
     Organisation
 );
 name!(
-    /// An evacuation, by the name its operator gave it.
+    /// Name of an evacuation.
     Evacuation
 );
 
-/// A fleet, by a number that its first node draws and its store keeps.
+/// Id of a fleet: a random number that its first node draws and the store keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fleet(pub num::NonZeroU32);
 
@@ -105,9 +105,10 @@
     }
 }
 
-/// Returns whether `text` may name a resource: letters, digits, `-`, `_`, `.`, 1 to [`LONGEST`].
+/// Returns whether `text` is a valid resource name: 1 to [`MAX_BYTES`] ASCII letters, digits, `-`,
+/// `_` or `.`.
 #[must_use]
 pub fn is_valid(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    !text.is_empty() && text.len() <= LONGEST && text.chars().all(allowed)
+    !text.is_empty() && text.len() <= MAX_BYTES && text.chars().all(allowed)
 }
--- a/crates/model/src/key.rs
+++ b/crates/model/src/key.rs
@@ -1,41 +1,43 @@
-//! Keys: secrets by which organisations prove who they are, kept as digests only.
+//! API keys of organisations, stored as digests only.
 //!
-//! A key is turned into its digest where it is read and is then forgotten: no type here holds one. Digests are
-//! SHA-256 without a salt, so that every node comes to the same one; keys are random and long, so that a digest does not
-//! lead back to its key.
+//! A key is hashed as soon as it is read, and no type of this module stores a plain key. Digests
+//! are unsalted SHA-256, so that every node computes the same digest. Keys are long and random, so
+//! they cannot be recovered from their digests.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize, de};
 use sha2::Digest as _;
 
-/// Longest key, in bytes. Not measured; keys are some twenty characters, and a longer one costs time to digest.
+/// Maximum length of a key, which bounds the time spent on hashing. Keys have about twenty
+/// characters.
 pub const LONGEST: usize = 256;
 
-/// Bytes of a digest.
+/// Length of a SHA-256 digest.
 const DIGEST_BYTES: usize = 32;
 
-/// Begins a digest in declarations.
-const MARK: &str = "sha256:";
+/// Prefix of a digest in declarations.
+const DIGEST_PREFIX: &str = "sha256:";
 
-/// Hex digits of a digest that are shown in place of all of them.
-const SHOWN_DIGITS: usize = 8;
+/// Number of hex digits of a digest that its `Debug` output shows.
+const DEBUG_DIGITS: usize = 8;
 
-/// SHA-256 of a key.
+/// SHA-256 digest of a key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; DIGEST_BYTES]);
 
 impl Digest {
-    /// Digests a key.
+    /// Computes the digest of a key.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
         Self(sha2::Sha256::digest(key).into())
     }
 
-    /// Reads a digest as declarations write it: `sha256:` and 64 hex digits; none when it is not one.
+    /// Parses a digest as written in declarations, `sha256:` and 64 hex digits; returns `None` for
+    /// any other text.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
-        let digits = text.strip_prefix(MARK)?.as_bytes();
+        let digits = text.strip_prefix(DIGEST_PREFIX)?.as_bytes();
         if digits.len() != DIGEST_BYTES * 2 || !digits.iter().all(u8::is_ascii_hexdigit) {
             return None;
         }
@@ -50,7 +52,7 @@
 
 impl fmt::Display for Digest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(MARK)?;
+        f.write_str(DIGEST_PREFIX)?;
         self.0.iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
@@ -58,7 +60,7 @@
 impl fmt::Debug for Digest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = self.to_string();
-        write!(f, "{}…", &text[..MARK.len() + SHOWN_DIGITS])
+        write!(f, "{}…", &text[..DIGEST_PREFIX.len() + DEBUG_DIGITS])
     }
 }
 
@@ -69,7 +71,8 @@
 }
 
 impl<'de> Deserialize<'de> for Digest {
-    /// The error does not repeat the text, which may be a key that was written in place of its digest.
+    /// Deserializes a digest. The error does not repeat the text, which may be a plain key written
+    /// by mistake instead of its digest.
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
         Self::parse(&text).ok_or_else(|| {
@@ -80,19 +83,19 @@
     }
 }
 
-/// What the head of a request says of a key.
+/// The key that a request presents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Given {
-    /// Nothing.
+    /// The request has no key.
     None,
-    /// A key, by its digest.
+    /// Digest of the key.
     Key(Digest),
-    /// No key that any organisation can have: empty, too long, or several.
+    /// The key is empty, too long, or given several times, so no organisation can have it.
     Malformed,
 }
 
 impl Given {
-    /// Returns what the `values` of the field for keys say; keys are digested and not kept.
+    /// Reads the values of the header field for keys; only the digest of a key is kept.
     pub fn read<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         match (values.next(), values.next()) {
             (None, _) => Self::None,
--- a/crates/model/src/leaving.rs
+++ b/crates/model/src/leaving.rs
@@ -1,38 +1,40 @@
-//! Leaving: whether an upstream says in an answer that its process is about to end.
+//! The response header field in which an upstream announces that its process is about to end.
 
-/// Value by which an upstream says that it leaves.
-const YES: &str = "1";
+/// Value for an upstream that is leaving.
+const LEAVING: &str = "1";
 
-/// Value by which it says that it does not.
-const NO: &str = "0";
+/// Value for an upstream that is not leaving.
+const NOT_LEAVING: &str = "0";
 
-/// The field of an answer in which its upstream says that it leaves.
+/// Parsed value of the header field.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Field {
-    /// It does not say so.
+    /// The field is missing, or says that the upstream is not leaving.
     #[default]
     Absent,
-    /// It says something that cannot be read, which changes nothing.
+    /// The value is invalid and has no effect.
     Malformed,
-    /// It leaves.
+    /// The upstream is leaving.
     Leaving,
 }
 
 impl Field {
-    /// Reads the values of the fields that say whether an upstream leaves: one that says so is enough.
+    /// Combines the values of repeated fields: a single `1` is enough for [`Field::Leaving`].
+    ///
+    /// A value is `None` if it is not valid text.
     #[must_use]
     pub fn read<'a>(values: impl Iterator<Item = Option<&'a str>>) -> Self {
-        values.map(Self::of).fold(Self::Absent, |all, one| match (all, one) {
+        values.map(Self::parse).fold(Self::Absent, |combined, field| match (combined, field) {
             (Self::Leaving, _) | (_, Self::Leaving) => Self::Leaving,
             (Self::Malformed, _) | (_, Self::Malformed) => Self::Malformed,
             (Self::Absent, Self::Absent) => Self::Absent,
         })
     }
 
-    fn of(value: Option<&str>) -> Self {
+    fn parse(value: Option<&str>) -> Self {
         match value.map(str::trim) {
-            Some(YES) => Self::Leaving,
-            Some(NO) => Self::Absent,
+            Some(LEAVING) => Self::Leaving,
+            Some(NOT_LEAVING) => Self::Absent,
             _ => Self::Malformed,
         }
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
-//! Ids, declarations, checks and verdicts that every part of yokespoke shares.
+//! Shared data model of yokespoke: names, declarations, their validation, and verdicts on requests.
 //!
-//! Nothing here performs input or output; the packages above it do.
+//! This crate performs no I/O except reading the system clock.
 
 pub mod acceptance;
 pub mod blocks;
--- a/crates/model/src/limit.rs
+++ b/crates/model/src/limit.rs
@@ -1,45 +1,46 @@
-//! Limit that an upstream names: the requests a second that it takes from all nodes together.
+//! The response header field in which an upstream limits the requests per second that it accepts
+//! from all nodes together.
 
 use std::fmt;
 use std::str;
 
-/// Largest rate, in requests a second; no upstream gets more anyway.
-const LARGEST: f64 = 1e6;
+/// Highest rate; no upstream gets more requests than this anyway.
+const MAX_REQUESTS_PER_SECOND: f64 = 1e6;
 
-/// Requests a second: finite, and not negative.
+/// A rate in requests per second, finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Rate(f64);
 
-/// The field of an answer in which its upstream names a limit.
+/// Parsed value of the header field.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Field {
-    /// It names none, so none is in force.
+    /// The field is missing, so no limit is in force.
     #[default]
     Absent,
-    /// It names one that cannot be read, which changes nothing.
+    /// The value is invalid and has no effect.
     Malformed,
-    /// It names this one.
+    /// The limit that the upstream sets.
     Limit(Rate),
 }
 
-/// A text or number that is no rate.
+/// Error for a text or number that is not a valid rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
 impl Rate {
-    /// Makes a rate; one beyond what any upstream gets becomes the largest.
+    /// Creates a rate, capped at one million requests per second.
     ///
     /// # Errors
     ///
-    /// Fails for a negative number, and for one that is not finite.
+    /// Returns an error for a number that is negative or not finite.
     pub fn new(per_second: f64) -> Result<Self, Malformed> {
         match per_second.is_finite() && per_second >= 0.0 {
-            true => Ok(Self(per_second.min(LARGEST))),
+            true => Ok(Self(per_second.min(MAX_REQUESTS_PER_SECOND))),
             false => Err(Malformed),
         }
     }
 
-    /// Returns the requests a second.
+    /// Returns the rate in requests per second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         self.0
@@ -49,7 +50,7 @@
 impl str::FromStr for Rate {
     type Err = Malformed;
 
-    /// Reads a decimal number, such as `3`, `0.2` or `1e3`.
+    /// Parses a decimal number such as `3`, `0.2` or `1e3`.
     fn from_str(text: &str) -> Result<Self, Malformed> {
         Self::new(text.trim().parse().map_err(|_| Malformed)?)
     }
@@ -62,15 +63,17 @@
 }
 
 impl Field {
-    /// Reads the values of the fields that name a limit: the lowest of those that can be read counts.
+    /// Combines the values of repeated fields: the lowest valid limit applies.
+    ///
+    /// A value is `None` if it is not valid text.
     #[must_use]
     pub fn read<'a>(values: impl Iterator<Item = Option<&'a str>>) -> Self {
         let rate = |text: Option<&str>| text.and_then(|text| text.parse::<Rate>().ok());
         let fields = values.map(|text| rate(text).map_or(Self::Malformed, Self::Limit));
-        fields.fold(Self::Absent, Self::lower)
+        fields.fold(Self::Absent, Self::combine)
     }
 
-    fn lower(self, other: Self) -> Self {
+    fn combine(self, other: Self) -> Self {
         match (self, other) {
             (Self::Limit(a), Self::Limit(b)) => Self::Limit(if b < a { b } else { a }),
             (limit @ Self::Limit(_), _) | (_, limit @ Self::Limit(_)) => limit,
--- a/crates/model/src/load.rs
+++ b/crates/model/src/load.rs
@@ -1,26 +1,26 @@
-//! Load that upstreams report with their answers.
+//! Load that upstreams report in their responses.
 
 use std::str;
 
-/// Load that an upstream reports with an answer.
+/// Load that an upstream reports in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Requests it runs now.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Requests queued at it.
+    /// Number of requests that are queued.
     pub waiting: u32,
-    /// Requests it can run at once.
+    /// Number of requests that the upstream can run concurrently.
     pub slots: u32,
 }
 
-/// A text that is not a load report.
+/// Error for a text that is not a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
 impl str::FromStr for Report {
     type Err = Malformed;
 
-    /// Reads running, waiting and slots, separated by commas, such as `3,0,8`.
+    /// Parses `running,waiting,slots`, such as `3,0,8`.
     fn from_str(text: &str) -> Result<Self, Malformed> {
         let mut numbers = text.split(',').map(|n| n.trim().parse::<u32>().map_err(|_| Malformed));
         let mut next = || numbers.next().unwrap_or(Err(Malformed));
--- a/crates/model/src/member.rs
+++ b/crates/model/src/member.rs
@@ -1,4 +1,5 @@
-//! Members of a region's table: the nodes that it lists, and those that left without proof.
+//! Members of a region's membership table: active nodes, and nodes that left without confirming
+//! that they stopped.
 
 use std::fmt;
 use std::net;
@@ -8,12 +9,12 @@
 use crate::epoch;
 use crate::id;
 
-/// One incarnation of one node.
+/// Identifies one incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// The node's name, the same after a restart.
+    /// Name of the node, which stays the same after a restart.
     pub node: id::Node,
-    /// Drawn anew at each start.
+    /// Random number that is drawn at each start of the node.
     pub incarnation: u64,
 }
 
@@ -23,30 +24,31 @@
     }
 }
 
-/// A node that the table lists.
+/// An active node in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// Which incarnation of which node.
+    /// Node and incarnation.
     pub key: Key,
-    /// Its hall.
+    /// Hall that the node is in.
     pub hall: id::Hall,
-    /// Its listener for peers.
+    /// Address of its listener for peers.
     pub peers: net::SocketAddr,
-    /// Its listener for callers.
+    /// Address of its listener for callers.
     pub callers: net::SocketAddr,
-    /// The lowest epoch whose shares it may still use.
+    /// Lowest epoch whose shares the node may still use.
     pub settled: epoch::Epoch,
 }
 
-/// A node that left without confirming that it stopped; its share stays reserved.
+/// A node that left without confirming that it stopped; its share of the slots stays reserved.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departed {
-    /// Which incarnation of which node.
+    /// Node and incarnation.
     pub key: Key,
-    /// Its listener for peers; a newer incarnation there proves that this one ended.
+    /// Address of its listener for peers; a newer incarnation at this address proves that this one
+    /// ended.
     pub peers: net::SocketAddr,
-    /// The lowest epoch whose shares it may still use.
+    /// Lowest epoch whose shares the node may still use.
     pub settled: epoch::Epoch,
-    /// The last epoch that listed it.
+    /// Last epoch in which the node was listed.
     pub last: epoch::Epoch,
 }
--- a/crates/model/src/organisation/index.rs
+++ b/crates/model/src/organisation/index.rs
@@ -1,6 +1,7 @@
-//! Index: the organisations of one version of the configuration, by their keys.
+//! Index of the organisations of one configuration version by their keys.
 //!
-//! Built when a version is put in force, so that a request finds its organisation with one look, however many there are.
+//! The index is built when a version takes effect, so that finding the organisation of a request is
+//! a single hash lookup, however many organisations there are.
 
 use std::collections;
 use std::sync;
@@ -9,7 +10,7 @@
 use crate::key;
 use crate::organisation;
 
-/// The organisations of one version of the configuration.
+/// The organisations of one configuration version, indexed by key digest.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Index {
     by_key: collections::HashMap<key::Digest, sync::Arc<organisation::Organisation>>,
@@ -17,11 +18,11 @@
 }
 
 impl Index {
-    /// Makes an index.
+    /// Builds the index.
     ///
     /// # Errors
     ///
-    /// Fails with the names of two organisations that have a key in common.
+    /// Returns the names of two organisations that share a key.
     pub fn new(
         organisations: impl Iterator<Item = organisation::Organisation>,
     ) -> Result<Self, (id::Organisation, id::Organisation)> {
@@ -41,13 +42,13 @@
         Ok(Self { by_key, all })
     }
 
-    /// Returns the organisation that has a key.
+    /// Returns the organisation that owns `key`.
     #[must_use]
     pub fn find(&self, key: &key::Digest) -> Option<&sync::Arc<organisation::Organisation>> {
         self.by_key.get(key)
     }
 
-    /// Returns every organisation.
+    /// Iterates over all organisations.
     pub fn iter(&self) -> impl Iterator<Item = &sync::Arc<organisation::Organisation>> {
         self.all.iter()
     }
--- a/crates/model/src/place.rs
+++ b/crates/model/src/place.rs
@@ -1,4 +1,4 @@
-//! Places: client blocks with the same delays to each region.
+//! Places: groups of client blocks with the same network delay to each region.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 
 use crate::id;
 
-/// A place, as its operator declares it.
+/// A place as declared by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Place {
-    /// Its name.
+    /// Unique name of the place.
     pub name: id::Place,
-    /// The client blocks; a caller belongs to the longest that holds its address.
+    /// Client blocks; a caller belongs to the most specific block that contains its address.
     pub blocks: Vec<ipnet::IpNet>,
-    /// The regions it can reach.
+    /// Links to the regions that are reachable from the place.
     pub links: Vec<Link>,
 }
 
@@ -28,16 +28,16 @@
     }
 }
 
-/// The way from a place to a region.
+/// The network path from a place to a region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Link {
-    /// The region it leads to.
+    /// Region at the end of the link.
     pub region: id::Region,
     /// One-way delay.
     #[serde(with = "humantime_serde")]
     pub delay: Duration,
-    /// Greatest requests per second it carries; none when absent.
+    /// Highest number of requests per second on the link; unlimited when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<u32>,
 }
--- a/crates/model/src/refusal.rs
+++ b/crates/model/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: why a configuration was not accepted.
+//! Refusals: the reasons for rejecting a configuration change.
 
 use std::fmt;
 
@@ -6,37 +6,37 @@
 
 use crate::revision;
 
-/// Why a change of configuration was refused; nothing of it is in force.
+/// The reason why a configuration change was refused. No part of a refused change takes effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "refused", rename_all = "kebab-case")]
 pub enum Refusal {
-    /// A rule does not hold; one entry for each field at fault.
+    /// The resulting configuration violates rules.
     Invalid {
-        /// What is wrong where.
+        /// The violations, one for each invalid field.
         problems: Vec<Problem>,
     },
-    /// Another operator's change was accepted first.
+    /// The change is based on a revision that is not the current one.
     Conflict {
-        /// The revision the writer had seen.
+        /// Revision that the change is based on.
         expected: revision::Revision,
-        /// The revision that stands.
+        /// Current revision.
         found: revision::Revision,
     },
-    /// The resource does not exist.
+    /// A resource to delete does not exist.
     Missing {
-        /// The resource, as kind and name.
+        /// Kind and name of the resource.
         resource: String,
     },
 }
 
-/// One rule that does not hold.
+/// A violated rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// The resource, as kind and name.
+    /// Kind and name of the resource.
     pub resource: String,
-    /// The field, as a path with dots.
+    /// Dotted path of the invalid field.
     pub field: String,
-    /// What was expected, for the operator.
+    /// Message for the operator, such as what was expected.
     pub message: String,
 }
 
--- a/crates/model/src/resource.rs
+++ b/crates/model/src/resource.rs
@@ -1,4 +1,4 @@
-//! The kinds of resource.
+//! Declared resources and their kinds.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
 use crate::route;
 use crate::service;
 
-/// A declared resource.
+/// A declared resource of any kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Resource {
@@ -83,7 +83,7 @@
 }
 
 impl Kind {
-    /// Every kind, in the order in which declarations depend on each other.
+    /// All kinds, ordered so that each kind comes after those that it refers to.
     pub const ALL: [Self; 7] = [
         Self::Service,
         Self::Place,
@@ -94,7 +94,7 @@
         Self::Organisation,
     ];
 
-    /// Returns the kind's name, as declarations write it.
+    /// Returns the name of the kind as written in declarations.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns the collection's name, as paths of the resource API write it.
+    /// Returns the plural name used in the paths of the resource API.
     #[must_use]
     pub fn plural(self) -> &'static str {
         match self {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns the kind with this name, singular or plural.
+    /// Parses a singular or plural name of a kind.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|k| k.as_str() == text || k.plural() == text)
--- a/crates/model/src/rest.rs
+++ b/crates/model/src/rest.rs
@@ -1,40 +1,44 @@
-//! Rest: the time for which an upstream that turned a request away wants none from the same sender.
+//! The response header field in which an upstream that refused a request asks the sender to back
+//! off.
 
 use std::time::Duration;
 
-/// Longest rest that counts. An upstream that wants no requests for longer can leave service discovery, and a mistaken value must not
-/// shut it out for hours.
-pub const LONGEST: Duration = Duration::from_mins(5);
+/// Longest rest that is honoured. An upstream that wants no requests for longer can leave service
+/// discovery, and an erroneous value must not exclude it for hours.
+pub const MAX_REST: Duration = Duration::from_mins(5);
 
-/// The field of a refusal in which its upstream asks for rest.
+/// Parsed value of the header field.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Field {
-    /// It asks for none.
+    /// The field is missing.
     #[default]
     Absent,
-    /// It asks for something that cannot be read as seconds, which changes nothing.
+    /// The value is not a number of seconds and has no effect.
     Malformed,
-    /// It asks for this time, at most [`LONGEST`].
+    /// Time for which the sender must send no requests, at most [`MAX_REST`].
     Rest(Duration),
 }
 
 impl Field {
-    /// Reads the values of the fields that ask for rest: the longest of those that can be read counts.
+    /// Combines the values of repeated fields: the longest valid rest applies.
+    ///
+    /// A value is `None` if it is not valid text.
     #[must_use]
     pub fn read<'a>(values: impl Iterator<Item = Option<&'a str>>) -> Self {
-        values.map(Self::of).fold(Self::Absent, |all, one| match (all, one) {
+        values.map(Self::parse).fold(Self::Absent, |combined, field| match (combined, field) {
             (Self::Rest(a), Self::Rest(b)) => Self::Rest(a.max(b)),
             (rest @ Self::Rest(_), _) | (_, rest @ Self::Rest(_)) => rest,
             (_, other) => other,
         })
     }
 
-    /// Reads seconds, such as `3` or `0.5`. A date is none, since the sender's clock need not be this one's.
-    fn of(value: Option<&str>) -> Self {
+    /// Parses a number of seconds, such as `3` or `0.5`. HTTP dates are not accepted, since the
+    /// clocks of upstream and node may differ.
+    fn parse(value: Option<&str>) -> Self {
         let seconds = value.and_then(|text| text.trim().parse::<f64>().ok());
         match seconds {
             Some(seconds) if seconds.is_finite() && seconds >= 0.0 => {
-                Self::Rest(Duration::from_secs_f64(seconds.min(LONGEST.as_secs_f64())))
+                Self::Rest(Duration::from_secs_f64(seconds.min(MAX_REST.as_secs_f64())))
             }
             _ => Self::Malformed,
         }
--- a/crates/model/src/revision.rs
+++ b/crates/model/src/revision.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of an accepted configuration; a later one is greater.
+/// Revision number of the accepted configuration; it increases with every accepted change.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -12,7 +12,7 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Returns the revision that follows this one.
+    /// Returns the next revision.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/model/src/route.rs
+++ b/crates/model/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests go to which service, and under which rules.
+//! Routes: rules that map requests to services and set their timeouts, retries and priorities.
 
 use std::time::Duration;
 
@@ -6,75 +6,75 @@
 
 use crate::id;
 
-/// What may be done with a route's requests when a try fails.
+/// How the requests of a route may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// They may run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// They may run at most once.
+    /// Requests must run at most once.
     NonIdempotent,
-    /// As [`Kind::NonIdempotent`], with large bodies.
+    /// Like [`Kind::NonIdempotent`], for requests with large bodies.
     Upload,
 }
 
 impl Kind {
-    /// Returns whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run may be retried.
     #[must_use]
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent)
     }
 }
 
-/// A service's part of a route.
+/// A service's part in the traffic split of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part {
-    /// The service.
+    /// Service that gets the requests.
     pub service: id::Service,
-    /// Its weight against the route's other parts.
+    /// Weight relative to the other parts of the route.
     #[serde(default = "one")]
     pub weight: u32,
 }
 
-/// A route, as its operator declares it.
+/// A route as declared by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name.
+    /// Unique name of the route.
     pub name: id::Route,
-    /// The host it matches, without a port; case does not matter.
+    /// Host to match, without a port and ignoring case.
     pub host: String,
-    /// The path prefix it matches; begins and ends with a slash.
+    /// Path prefix to match; starts and ends with a slash.
     pub prefix: String,
-    /// What may be done when a try fails.
+    /// How requests may be retried.
     pub repetition: Kind,
-    /// Longest time a request is held.
+    /// Longest time that a request may take.
     #[serde(with = "humantime_serde")]
     pub timeout: Duration,
-    /// Time within which an answer is wanted.
+    /// Target for the response time.
     #[serde(with = "humantime_serde")]
     pub target_latency: Duration,
-    /// Urgency; 0 is the most urgent.
+    /// Priority, 0 being the highest.
     #[serde(default)]
     pub priority: u32,
-    /// Services that share its requests; one or more.
+    /// Services that share the requests of the route; at least one.
     pub parts: Vec<Part>,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     #[serde(default = "one")]
     pub max_attempts: u32,
-    /// Whether requests about one object should meet the same upstream.
+    /// Whether requests for the same object should go to the same upstream.
     #[serde(default, rename = "sticky")]
     pub is_sticky: bool,
-    /// Regions that may serve it; all when empty.
+    /// Regions that may serve the route; any region when empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub home_regions: Vec<id::Region>,
-    /// Whether its requests need no key of an organisation.
+    /// Whether requests need no key of an organisation.
     #[serde(default, rename = "public", skip_serializing_if = "is_false")]
     pub is_public: bool,
 }
 
-#[expect(clippy::trivially_copy_pass_by_ref, reason = "the form that serde calls")]
+#[expect(clippy::trivially_copy_pass_by_ref, reason = "serde passes the field by reference")]
 fn is_false(value: &bool) -> bool {
     !value
 }
--- a/crates/model/src/routing.rs
+++ b/crates/model/src/routing.rs
@@ -1,6 +1,6 @@
-//! Routing: one version of all routes, the rules of services and the limits for callers.
+//! Routing configuration of a gateway: routes, service rules, caller limits and organisations.
 //!
-//! What a gateway needs of a configuration, whichever source it was decoded from.
+//! The types do not depend on the source that a configuration was decoded from.
 
 use std::collections;
 use std::time::Duration;
@@ -12,30 +12,31 @@
 /// Rules for the upstreams of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRules {
-    /// Most connections that one upstream accepts from all nodes.
+    /// Maximum number of connections that one upstream accepts from all nodes together.
     pub max_connections: Option<u32>,
-    /// How long an upstream stays cold after it starts.
+    /// Duration of the cold start of an upstream.
     pub cold_start: Duration,
-    /// Requests a second that a cold upstream bears; no limit when absent.
+    /// Limit on the requests per second to an upstream during its cold start; unlimited when
+    /// absent.
     pub cold_rate: Option<f64>,
-    /// Statuses by which an upstream proves that it did not run a request.
+    /// HTTP statuses that prove that the upstream did not run the request.
     pub shed: Vec<u16>,
 }
 
-/// Limits on what callers may send.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Longest time a caller may take to send a head.
+    /// Longest time that a caller may take to send a request head.
     pub head_time: Duration,
-    /// Longest time a connection may stay idle between requests.
+    /// Longest time that a connection may be idle between requests.
     pub idle_time: Duration,
 }
 
-/// Limits of a configuration that names none. Usual values of HTTP servers; not measured.
+/// Limits for a configuration that sets none; common defaults of HTTP servers.
 impl Default for CallerLimits {
     fn default() -> Self {
         Self {
@@ -50,20 +51,20 @@
 /// One version of the routing configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routing {
-    /// Grows with each change.
+    /// Version number; it increases with each change.
     pub version: u64,
-    /// All routes, grouped by host, longest prefix first.
+    /// Routes by lower-case host, longest prefix first.
     hosts: collections::HashMap<String, Vec<std::sync::Arc<route::Route>>>,
-    /// Rules of services.
+    /// Rules by service.
     pub services: collections::BTreeMap<id::Service, ServiceRules>,
-    /// Limits on what callers may send.
+    /// Limits on the requests of callers.
     pub limits: CallerLimits,
-    /// Organisations whose keys requests must carry; requests need no key when absent.
+    /// Organisations whose keys requests must present; requests need no key when absent.
     pub organisations: Option<organisation::Index>,
 }
 
 impl Routing {
-    /// Makes a version of `routes`, whose order does not matter.
+    /// Creates a configuration version. The order of `routes` does not matter.
     #[must_use]
     pub fn new(
         version: u64,
@@ -77,49 +78,49 @@
             let host = route.host.to_ascii_lowercase();
             hosts.entry(host).or_default().push(std::sync::Arc::new(route));
         }
-        for of_host in hosts.values_mut() {
-            of_host.sort_by(|a, b| {
+        for host_routes in hosts.values_mut() {
+            host_routes.sort_by(|a, b| {
                 b.prefix.len().cmp(&a.prefix.len()).then_with(|| a.prefix.cmp(&b.prefix))
             });
         }
         Self { version, hosts, services, limits, organisations: None }
     }
 
-    /// Returns this version with organisations, one of whose keys each request must carry.
+    /// Adds organisations, so that each request must present a key of one of them.
     #[must_use]
     pub fn with_organisations(self, organisations: organisation::Index) -> Self {
         Self { organisations: Some(organisations), ..self }
     }
 
-    /// Returns the route of a request: that of the host with the longest prefix of the path.
+    /// Returns the route of `host` with the longest matching path prefix.
     ///
-    /// `host` may carry a port and any case.
+    /// `host` may include a port, and its case is ignored.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&std::sync::Arc<route::Route>> {
-        let of_host = self.of_host(host)?;
-        of_host.iter().find(|route| path.starts_with(&route.prefix))
+        let routes = self.routes_of_host(host)?;
+        routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Returns the regions that may serve something of `host`; empty when any region may.
+    /// Returns the regions that may serve any route of `host`; empty if every region may.
     #[must_use]
     pub fn home_regions(&self, host: &str) -> Vec<id::Region> {
-        let Some(of_host) = self.of_host(host) else { return Vec::new() };
-        if of_host.iter().any(|route| route.home_regions.is_empty()) {
+        let Some(routes) = self.routes_of_host(host) else { return Vec::new() };
+        if routes.iter().any(|route| route.home_regions.is_empty()) {
             return Vec::new();
         }
         let mut regions: Vec<_> =
-            of_host.iter().flat_map(|r| r.home_regions.iter().cloned()).collect();
+            routes.iter().flat_map(|r| r.home_regions.iter().cloned()).collect();
         regions.sort();
         regions.dedup();
         regions
     }
 
-    /// Returns every route.
+    /// Iterates over all routes.
     pub fn routes(&self) -> impl Iterator<Item = &std::sync::Arc<route::Route>> {
         self.hosts.values().flatten()
     }
 
-    fn of_host(&self, host: &str) -> Option<&Vec<std::sync::Arc<route::Route>>> {
+    fn routes_of_host(&self, host: &str) -> Option<&Vec<std::sync::Arc<route::Route>>> {
         let name = match host.rsplit_once(':') {
             Some((name, port)) if port.chars().all(|c| c.is_ascii_digit()) => name,
             _ => host,
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -1,4 +1,4 @@
-//! Services: what callers ask for, and how their requests may be treated.
+//! Services: named groups of upstreams with their timeouts and retry rules.
 
 use std::time::Duration;
 
@@ -7,73 +7,73 @@
 use crate::id;
 use crate::upstream;
 
-/// Deadline of a request when neither caller nor service sets one. Not measured.
-const DEADLINE: Duration = Duration::from_secs(5);
+/// Deadline of a request if neither the caller nor the service sets one.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(5);
 
-/// Time a request may wait for a slot when its service sets none. Not measured.
-const HOLD: Duration = Duration::from_millis(500);
+/// Time that a request may wait for a slot if its service sets none.
+const DEFAULT_HOLD: Duration = Duration::from_millis(500);
 
-/// A service, as its operator declares it.
+/// A service as declared by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name.
+    /// Unique name of the service.
     pub name: id::Service,
-    /// The host by which callers ask for it.
+    /// Host name that callers request.
     pub host: String,
-    /// Greatest time a request may take; a caller may ask for less.
+    /// Longest time that a request may take; callers may set a shorter one.
     #[serde(default = "deadline", with = "humantime_serde")]
     pub deadline: Duration,
-    /// Greatest time a request may wait for a slot.
+    /// Longest time that a request may wait for a slot.
     #[serde(default = "hold", with = "humantime_serde")]
     pub hold: Duration,
-    /// Requests that may be run again after they may have run.
+    /// Requests that may be retried even if they may have run.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub repeatable: Vec<Pattern>,
-    /// Requests that must run at most once, under a ticket.
+    /// Requests that must run at most once and need a ticket.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub once: Vec<Pattern>,
-    /// Statuses by which an upstream proves that it did not run a request.
+    /// HTTP statuses that prove that the upstream did not run the request.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub shed: Vec<u16>,
-    /// Path of the upstreams' health and load report.
+    /// Path at which upstreams serve their health and load report.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub report: Option<String>,
-    /// Its upstreams.
+    /// Upstreams of the service.
     pub upstreams: Vec<upstream::Upstream>,
 }
 
 impl Service {
-    /// Returns how a request may be repeated.
+    /// Returns the conditions for retrying a request.
     #[must_use]
     pub fn repetition(&self, method: &str, path: &str) -> Repetition {
-        let any = |patterns: &[Pattern]| patterns.iter().any(|p| p.matches(method, path));
+        let matches_any = |patterns: &[Pattern]| patterns.iter().any(|p| p.matches(method, path));
         match () {
-            () if any(&self.once) => Repetition::Once,
-            () if any(&self.repeatable) => Repetition::Free,
+            () if matches_any(&self.once) => Repetition::Once,
+            () if matches_any(&self.repeatable) => Repetition::Free,
             () => Repetition::Proved,
         }
     }
 }
 
-/// When a request may be sent a second time.
+/// The conditions for sending a request again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repetition {
-    /// Whenever the retry budget allows.
+    /// May be sent again within the retry budget, even if it may have run.
     Free,
-    /// Only when it is proved not to have run.
+    /// May be sent again only if it provably did not run.
     Proved,
-    /// Only when proved not to have run, and under one ticket.
+    /// May be sent again only if it provably did not run, and only with the same ticket.
     Once,
 }
 
-/// A method and the start of a path.
+/// Matches requests by method and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pattern {
-    /// The method, in capitals.
+    /// HTTP method in upper case.
     pub method: String,
-    /// How the path starts.
+    /// Path prefix.
     #[serde(default = "root")]
     pub path: String,
 }
@@ -85,11 +85,11 @@
 }
 
 fn deadline() -> Duration {
-    DEADLINE
+    DEFAULT_DEADLINE
 }
 
 fn hold() -> Duration {
-    HOLD
+    DEFAULT_HOLD
 }
 
 fn root() -> String {
--- a/crates/model/src/snapshot.rs
+++ b/crates/model/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration, whole.
+//! Snapshots of the complete accepted configuration.
 
 use std::collections;
 use std::sync;
@@ -18,16 +18,16 @@
 use crate::route;
 use crate::service;
 
-/// Operations remembered, for operators whose answer was lost. Not measured; some hours of changes at
-/// 750 a day.
-pub const MOST_OPERATIONS: usize = 256;
+/// Number of operations that are kept for operators who lost a response. At 750 changes a day, this
+/// covers about eight hours.
+pub const MAX_OPERATIONS: usize = 256;
 
 /// All declarations of one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The revision; zero before the first change.
+    /// Revision number; zero before the first change.
     pub revision: revision::Revision,
-    /// The latest accepted operations, oldest first.
+    /// Most recently accepted operations, oldest first.
     pub operations: collections::VecDeque<Operation>,
     /// Services by name.
     pub services: collections::BTreeMap<id::Service, Stored<service::Service>>,
@@ -48,21 +48,21 @@
     pub organisations: collections::BTreeMap<id::Organisation, Stored<organisation::Organisation>>,
 }
 
-/// An accepted operation.
+/// An accepted change, as kept for queries by its id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Operation {
-    /// The operator's id.
+    /// Id that the operator gave the change.
     pub id: String,
-    /// The revision it made.
+    /// Revision that the change created.
     pub revision: revision::Revision,
 }
 
-/// A resource with the revision that last changed it.
+/// A declaration with the revision that last changed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored<T> {
-    /// The revision.
+    /// Revision that last changed the declaration.
     pub revision: revision::Revision,
-    /// The declaration.
+    /// Content of the declaration.
     pub spec: sync::Arc<T>,
 }
 
@@ -73,13 +73,14 @@
 }
 
 impl Snapshot {
-    /// Returns the revision that the operation made, when it is remembered.
+    /// Returns the revision that an operation created, if it is among the latest
+    /// [`MAX_OPERATIONS`].
     #[must_use]
     pub fn operation(&self, id: &str) -> Option<revision::Revision> {
         self.operations.iter().rev().find(|o| o.id == id).map(|o| o.revision)
     }
 
-    /// Returns every resource with its revision, services first.
+    /// Returns all resources with their revisions, in the order of [`resource::Kind::ALL`].
     #[must_use]
     pub fn resources(&self) -> Vec<(revision::Revision, resource::Resource)> {
         use resource::Resource;
@@ -136,12 +137,12 @@
         }
     }
 
-    /// Makes one step of a change, under the revision that stands.
+    /// Applies one step of a change, with the snapshot's revision as that of the change.
     ///
     /// # Errors
     ///
-    /// Refuses when a resource to delete is missing.
-    pub(crate) fn take(&mut self, step: &change::Step) -> Result<(), refusal::Refusal> {
+    /// Returns [`refusal::Refusal::Missing`] if a resource to delete does not exist.
+    pub(crate) fn apply_step(&mut self, step: &change::Step) -> Result<(), refusal::Refusal> {
         match step {
             change::Step::Put { resource } => {
                 self.put(resource);
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Puts a resource; one that is equal to what stands keeps its revision.
+    /// Creates or replaces a resource; an unchanged resource keeps its revision.
     fn put(&mut self, resource: &resource::Resource) {
         let revision = self.revision;
         match resource {
@@ -182,6 +183,7 @@
         }
     }
 
+    /// Deletes a resource and returns whether it existed.
     fn remove(&mut self, kind: resource::Kind, name: &str) -> bool {
         match kind {
             resource::Kind::Service => self.services.remove(name).is_some(),
@@ -194,15 +196,16 @@
         }
     }
 
-    /// Remembers an accepted operation, and forgets the oldest beyond [`MOST_OPERATIONS`].
-    pub(crate) fn remember(&mut self, operation: &str) {
+    /// Records an accepted operation and drops the oldest ones beyond [`MAX_OPERATIONS`].
+    pub(crate) fn record_operation(&mut self, operation: &str) {
         self.operations.push_back(Operation { id: operation.to_owned(), revision: self.revision });
-        while self.operations.len() > MOST_OPERATIONS {
+        while self.operations.len() > MAX_OPERATIONS {
             self.operations.pop_front();
         }
     }
 }
 
+/// Inserts `spec` with `revision`, unless an equal one is stored already.
 fn insert<K: Ord, T: Clone + PartialEq>(
     map: &mut collections::BTreeMap<K, Stored<T>>,
     key: K,
--- a/crates/model/src/statement.rs
+++ b/crates/model/src/statement.rs
@@ -1,19 +1,19 @@
-//! Statement: all that an upstream says of itself in the head of one answer.
+//! State that an upstream reports about itself in a response head.
 
 use crate::leaving;
 use crate::limit;
 use crate::load;
 use crate::rest;
 
-/// What an upstream says of itself.
+/// State that an upstream reports about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Statement {
-    /// Its load when it answered.
+    /// Load at the time of the response.
     pub load: Option<load::Report>,
-    /// The limit that it names.
+    /// Limit on the requests per second from all nodes.
     pub limit: limit::Field,
-    /// Whether it leaves.
+    /// Whether the upstream is leaving.
     pub leaving: leaving::Field,
-    /// The rest that it wants from this sender.
+    /// Time for which this sender must send no requests.
     pub rest: rest::Field,
 }
--- a/crates/model/src/table.rs
+++ b/crates/model/src/table.rs
@@ -1,4 +1,4 @@
-//! A region's membership table, as it lies in the store.
+//! A region's membership table as stored in the store.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,37 +6,37 @@
 use crate::id;
 use crate::member;
 
-/// Earlier epochs a table may carry; a join waits when there would be more. Not measured; bounds the
-/// table's size in the store.
+/// Maximum number of earlier epochs in a table, which bounds its size in the store. A join that
+/// would exceed it is delayed.
 pub const MOST_PAST: usize = 24;
 
-/// The nodes of a region, by epoch.
+/// The membership of a region in the current and earlier epochs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// The region.
+    /// Name of the region.
     pub region: id::Region,
-    /// Grows by one with every rewrite.
+    /// Current epoch; every rewrite of the table increases it by one.
     pub epoch: epoch::Epoch,
-    /// The nodes of this epoch.
+    /// Nodes of the current epoch.
     #[serde(rename = "seats")]
     pub listed: Vec<member::Listed>,
-    /// Nodes that may still use shares of an earlier epoch.
+    /// Nodes that left but may still use shares of an earlier epoch.
     pub departed: Vec<member::Departed>,
-    /// Earlier epochs that some node may still act on, oldest first.
+    /// Earlier epochs that some node may still use, oldest first.
     pub past: Vec<Past>,
 }
 
 /// The nodes of an earlier epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Past {
-    /// The epoch.
+    /// Number of the epoch.
     pub epoch: epoch::Epoch,
-    /// Its nodes.
+    /// Nodes of the epoch.
     pub keys: Vec<member::Key>,
 }
 
 impl Table {
-    /// Makes the table of a region that has no node yet.
+    /// Creates the table of a region without nodes.
     #[must_use]
     pub fn empty(region: &id::Region) -> Self {
         Self {
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Returns the entry of `key`, if this epoch lists it.
+    /// Returns the entry of `key` in the current epoch.
     #[must_use]
     pub fn find(&self, key: &member::Key) -> Option<&member::Listed> {
         self.listed.iter().find(|s| s.key == *key)
     }
 
-    /// Returns the lowest epoch that some node may still act on.
+    /// Returns the lowest epoch that some node may still use.
     #[must_use]
     pub fn lowest(&self) -> epoch::Epoch {
         let listed = self.listed.iter().map(|s| s.settled);
@@ -62,7 +62,10 @@
         listed.chain(departed).min().unwrap_or(self.epoch).min(self.epoch)
     }
 
-    /// Returns the next table: `joins` added, `leaves` moved to the departed, `ended` forgotten.
+    /// Returns the table of the next epoch.
+    ///
+    /// Adds `joins` to the listed nodes, moves `leaves` to the departed nodes and removes `ended`
+    /// from the departed nodes.
     #[must_use]
     pub fn next(
         &self,
@@ -92,7 +95,7 @@
             next.departed.retain(|d| d.key != join.key);
         }
         next.listed.sort_by(|a, b| a.key.cmp(&b.key));
-        next.forget_past();
+        next.prune_past();
         next
     }
 
@@ -103,8 +106,8 @@
         member::Listed { settled, ..join.clone() }
     }
 
-    /// Drops the earlier epochs that no node may act on any more.
-    fn forget_past(&mut self) {
+    /// Removes the earlier epochs that no node may use any more.
+    fn prune_past(&mut self) {
         let lowest = self.lowest();
         self.past.retain(|p| p.epoch >= lowest);
     }
--- a/crates/model/src/upstream.rs
+++ b/crates/model/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams as operators declare them, and the key that names one in the fleet.
+//! Upstreams as declared by operators, and the key that identifies one in the fleet.
 
 use std::fmt;
 use std::net;
@@ -7,38 +7,39 @@
 
 use crate::id;
 
-/// Connections an upstream accepts when its declaration names none: those of today's deployments.
-const CONNECTIONS: u32 = 400;
+/// Connections that an upstream accepts if its declaration sets no number; the value of existing
+/// deployments.
+const DEFAULT_CONNECTIONS: u32 = 400;
 
 /// One upstream of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Its name, unique among all upstreams of the service.
+    /// Name, unique among the upstreams of the service.
     pub name: id::Upstream,
-    /// The region it stands in.
+    /// Region that the upstream is in.
     pub region: id::Region,
-    /// The hall it stands in.
+    /// Hall that the upstream is in.
     pub hall: id::Hall,
-    /// Where it listens.
+    /// Address that the upstream listens on.
     pub address: net::SocketAddr,
-    /// Requests it can run at once.
+    /// Number of requests that the upstream can run concurrently.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Number of connections that the upstream accepts.
     #[serde(default = "connections")]
     pub connections: u32,
 }
 
 fn connections() -> u32 {
-    CONNECTIONS
+    DEFAULT_CONNECTIONS
 }
 
-/// The fleet-wide key of an upstream, whose own name is unique in its service only.
+/// Identifies an upstream in the fleet, since its name is unique only within its service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
-    /// The service.
+    /// Name of the service.
     pub service: id::Service,
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: id::Upstream,
 }
 
--- a/crates/model/src/verdict.rs
+++ b/crates/model/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Verdicts: whether a request that failed may have run.
+//! Verdicts on failed requests: whether the request may have run, and why it failed.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// Proved: no upstream ran it, and none will.
+    /// Proven: no upstream ran the request, and none will.
     NotRun,
-    /// An upstream may have run it, wholly or in part.
+    /// An upstream may have run the request, completely or in part.
     MayHaveRun,
 }
 
@@ -32,44 +32,44 @@
     }
 }
 
-/// Why a request failed.
+/// The reason why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// No service has the request's host.
+    /// No service is declared for the requested host.
     UnknownHost,
-    /// Requests must carry keys of organisations, which only gateways check.
+    /// Requests must present a key of an organisation, which only gateways check.
     KeysNotChecked,
-    /// The request itself is malformed or too large.
+    /// The request is malformed or too large.
     BadRequest,
-    /// The node has no configuration yet, or is stopping.
+    /// The node has no configuration yet or is stopping.
     NotReady,
-    /// No region has a node that could run it.
+    /// No region has a node that can run the request.
     NoRegion,
-    /// The node that was asked owns no usable upstream of the service.
+    /// The receiving node owns no usable upstream of the service.
     NotHome,
-    /// The owner that was asked had no free slot.
+    /// The receiving owner has no free slot.
     Busy,
-    /// Every slot is taken and the wait would exceed the deadline or the bound.
+    /// All slots are in use, and waiting would exceed the deadline or the limit on waiting.
     Full,
-    /// The deadline passed.
+    /// The deadline expired.
     Deadline,
-    /// The caller gave up.
+    /// The caller cancelled the request.
     Cancelled,
     /// The upstream could not be reached.
     Unreachable,
-    /// The upstream refused the work before running it.
+    /// The upstream rejected the request before running it.
     Shed,
-    /// The connection broke after the request had been handed over.
+    /// The connection was lost after the request had been sent.
     Broken,
-    /// The ticket is unknown, ended, or of another incarnation.
+    /// The ticket is unknown, has ended, or belongs to another incarnation.
     Ticket,
-    /// The same ticket is running now.
+    /// A request with the same ticket is running.
     Running,
 }
 
 impl Reason {
-    /// Returns the reason's name in logs and headers.
+    /// Returns the name of the reason in logs and headers.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Returns the reason named `text`, or [`Reason::Broken`] for a name that a newer node sent.
+    /// Parses the name of a reason; an unknown name, as from a newer node, becomes
+    /// [`Reason::Broken`].
     #[must_use]
     pub fn parse(text: &str) -> Self {
         const ALL: [Reason; 15] = [
@@ -121,33 +122,33 @@
     }
 }
 
-/// The failure of a request: the only error type on a request's path.
+/// A failed request; the only error type in request processing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why it failed.
+    /// Why the request failed.
     pub reason: Reason,
-    /// When asking again may help.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// Makes a failure of a request that was proved not to have run.
+    /// Creates a failure of a request that provably did not run.
     #[must_use]
     pub fn not_run(reason: Reason) -> Self {
         Self { verdict: Verdict::NotRun, reason, retry_after: None }
     }
 
-    /// Makes a failure of a request that may have run.
+    /// Creates a failure of a request that may have run.
     #[must_use]
     pub fn may_have_run(reason: Reason) -> Self {
         Self { verdict: Verdict::MayHaveRun, reason, retry_after: None }
     }
 
-    /// Returns the failure of a request whose earlier tries ended with `earlier`.
+    /// Combines this failure of the last attempt with the verdict on the earlier attempts.
     ///
-    /// That the last try did not run says nothing about the tries before it.
+    /// Even if the last attempt did not run, an earlier one may have.
     #[must_use]
     pub fn after_tries(mut self, earlier: Verdict) -> Self {
         if earlier == Verdict::MayHaveRun {
@@ -156,7 +157,7 @@
         self
     }
 
-    /// Adds the time after which asking again may help.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
     pub fn after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
