--- a/crates/model/tests/fingerprint.rs
+++ b/crates/model/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! By what a request is known again.
+//! Tests of which differences between requests change their fingerprints.
 
 use std::net;
 
@@ -18,12 +18,12 @@
 }
 
 #[test]
-fn the_same_request_of_the_same_caller_has_one_fingerprint() {
+fn the_same_request_of_the_same_caller_has_the_same_fingerprint() {
     assert_eq!(Fingerprint::of(&ASKED, &sender(1)), Fingerprint::of(&ASKED, &sender(1)));
 }
 
 #[test]
-fn whatever_differs_in_what_is_asked_makes_another_content() {
+fn any_difference_in_the_content_changes_its_hash() {
     let others = [
         Asked { method: "POST", ..ASKED },
         Asked { host: "other.example", ..ASKED },
@@ -32,7 +32,7 @@
         Asked { organisation: None, ..ASKED },
         Asked { body: b"bodz", ..ASKED },
         Asked { length: Some(5), ..ASKED },
-        // The same bytes one after the other, cut at another place.
+        // The concatenation of host and target is the same.
         Asked { host: "site.example/read", target: "/a?b=c", ..ASKED },
     ];
     let content = Fingerprint::of(&ASKED, &sender(1)).content;
@@ -42,34 +42,35 @@
 }
 
 #[test]
-fn two_callers_that_ask_the_same_share_the_content_only() {
+fn the_same_request_of_different_callers_differs_only_in_the_caller_hash() {
     let (first, second) =
         (Fingerprint::of(&ASKED, &sender(1)), Fingerprint::of(&ASKED, &sender(2)));
     assert_eq!(first.content, second.content);
     assert_ne!(first.caller, second.caller);
-    let of_no_object = Sender { object: None, ..sender(1) };
-    assert_ne!(Fingerprint::of(&ASKED, &of_no_object).caller, first.caller);
+    let without_object = Sender { object: None, ..sender(1) };
+    assert_ne!(Fingerprint::of(&ASKED, &without_object).caller, first.caller);
 }
 
 #[test]
-fn only_the_beginning_of_a_long_body_counts() {
+fn only_the_start_of_a_long_body_is_hashed() {
     let (long, longer) = (vec![1; BODY_BYTES], [vec![1; BODY_BYTES], vec![2]].concat());
-    let of = |body| Fingerprint::of(&Asked { body, ..ASKED }, &sender(1));
-    assert_eq!(of(&long), of(&longer));
+    let fingerprint = |body| Fingerprint::of(&Asked { body, ..ASKED }, &sender(1));
+    assert_eq!(fingerprint(&long), fingerprint(&longer));
     let other = [vec![1; BODY_BYTES - 1], vec![2]].concat();
-    assert_ne!(of(&long), of(&other));
+    assert_ne!(fingerprint(&long), fingerprint(&other));
 }
 
 #[test]
-fn a_scope_is_read_as_it_is_written() {
-    let of_caller = Scope::from(Fingerprint::of(&ASKED, &sender(1)));
-    let of_any = Scope { caller: None, ..of_caller };
-    for scope in [of_caller, of_any] {
+fn a_scope_can_be_parsed_from_its_text() {
+    let one_caller = Scope::from(Fingerprint::of(&ASKED, &sender(1)));
+    let any_caller = Scope { caller: None, ..one_caller };
+    for scope in [one_caller, any_caller] {
         assert_eq!(Scope::parse(&scope.to_string()), Some(scope));
     }
-    let text = of_caller.to_string();
-    for wrong in ["", "-any", "any", &text[1..], &text[..text.len() - 1], &text.replace('-', "+")] {
-        assert_eq!(Scope::parse(wrong), None, "{wrong}");
+    let text = one_caller.to_string();
+    for invalid in ["", "-any", "any", &text[1..], &text[..text.len() - 1], &text.replace('-', "+")]
+    {
+        assert_eq!(Scope::parse(invalid), None, "{invalid}");
     }
     let with_sign = format!("+{}", &text[1..]);
     assert_eq!(Scope::parse(&with_sign), None, "{with_sign}");
--- a/crates/model/tests/forms.rs
+++ b/crates/model/tests/forms.rs
@@ -1,6 +1,7 @@
-//! The forms of declarations, changes and refusals: as people write them and as they are stored.
+//! Tests of the serialized formats of declarations, changes, refusals and stored data against
+//! fixtures.
 //!
-//! The words of faults with file, line and field stand in `declarations.rs`.
+//! `declarations.rs` tests the messages of errors with file, line and field.
 
 use std::collections;
 use std::path;
@@ -26,24 +27,25 @@
 
 fn fixture(name: &str) -> String {
     let file = path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/forms").join(name);
-    std::fs::read_to_string(file).expect("the fixture is there")
+    std::fs::read_to_string(file).expect("the fixture exists")
 }
 
-/// Compares a text with a fixture, whole.
-fn same(name: &str, text: &str) {
+/// Asserts that a text is identical to a fixture.
+fn assert_matches_fixture(name: &str, text: &str) {
     assert_eq!(text, fixture(name), "{name}");
 }
 
 fn declarations() -> Vec<resource::Resource> {
-    document::read_resources("declarations.yaml", DECLARATIONS).expect("they are well-formed")
+    document::read_resources("declarations.yaml", DECLARATIONS)
+        .expect("the declarations are well-formed")
 }
 
 fn json(value: &impl serde::Serialize) -> String {
-    serde_json::to_string_pretty(value).expect("it can be written") + "\n"
+    serde_json::to_string_pretty(value).expect("it can be serialized") + "\n"
 }
 
-/// Returns the declarations in one configuration, as the store keeps it.
-fn stored() -> snapshot::Snapshot {
+/// Returns a configuration with all declarations of the fixture, as it is stored.
+fn stored_configuration() -> snapshot::Snapshot {
     let steps = declarations().into_iter().map(|resource| change::Step::Put { resource }).collect();
     let change = change::Change { operation: "first".to_owned(), expected: None, steps };
     let facts = check::facts::Facts::at(SystemTime::UNIX_EPOCH);
@@ -52,11 +54,11 @@
 }
 
 #[test]
-fn every_kind_has_a_declaration() {
+fn the_fixture_has_declarations_of_every_kind() {
     let kinds: collections::BTreeSet<resource::Kind> =
         declarations().iter().map(resource::Resource::kind).collect();
     assert_eq!(kinds, resource::Kind::ALL.into());
-    let words = resource::Kind::ALL.map(|kind| (kind.as_str(), kind.plural()));
+    let names = resource::Kind::ALL.map(|kind| (kind.as_str(), kind.plural()));
     let expected = [
         ("service", "services"),
         ("place", "places"),
@@ -66,15 +68,18 @@
         ("evacuation", "evacuations"),
         ("organisation", "organisations"),
     ];
-    assert_eq!(words, expected);
+    assert_eq!(names, expected);
 }
 
 #[test]
-fn declarations_mean_what_they_say() {
+fn declarations_are_parsed_with_their_defaults() {
     let declarations = declarations();
-    let resource::Resource::Service(bare) = &declarations[1] else { panic!("a service") };
-    assert_eq!((bare.deadline, bare.hold), (Duration::from_secs(5), Duration::from_millis(500)));
-    assert_eq!(bare.upstreams[0].connections, 400);
+    let resource::Resource::Service(minimal) = &declarations[1] else { panic!("a service") };
+    assert_eq!(
+        (minimal.deadline, minimal.hold),
+        (Duration::from_secs(5), Duration::from_millis(500))
+    );
+    assert_eq!(minimal.upstreams[0].connections, 400);
     let resource::Resource::Cap(cap) = &declarations[3] else { panic!("a cap") };
     assert_eq!(cap.share, fraction::Fraction(125_000));
     assert_eq!(cap.lost_share, Some(fraction::Fraction::from_percent(50)));
@@ -86,33 +91,33 @@
 
 #[test]
 fn declarations_are_written_as_yaml() {
-    let write = |r: &resource::Resource| serde_yaml_ng::to_string(r).expect("it can be written");
+    let write = |r: &resource::Resource| serde_yaml_ng::to_string(r).expect("it can be serialized");
     let text: String = declarations().iter().map(|r| format!("---\n{}", write(r))).collect();
-    same("written.yaml", &text);
-    let again = document::read_resources("written.yaml", &text).expect("it is read again");
-    assert_eq!(again, declarations());
+    assert_matches_fixture("written.yaml", &text);
+    let parsed = document::read_resources("written.yaml", &text).expect("it can be parsed");
+    assert_eq!(parsed, declarations());
 }
 
 #[test]
 fn declarations_are_written_as_json() {
     let text = json(&declarations());
-    same("written.json", &text);
-    let again: Vec<resource::Resource> = serde_json::from_str(&text).expect("it is read again");
-    assert_eq!(again, declarations());
+    assert_matches_fixture("written.json", &text);
+    let parsed: Vec<resource::Resource> = serde_json::from_str(&text).expect("it can be parsed");
+    assert_eq!(parsed, declarations());
 }
 
 #[test]
 fn a_configuration_is_stored_as_json() {
-    let text = json(&stored());
-    same("configuration.json", &text);
-    let again: snapshot::Snapshot = serde_json::from_str(&text).expect("it is read again");
-    assert_eq!(json(&again), text);
+    let text = json(&stored_configuration());
+    assert_matches_fixture("configuration.json", &text);
+    let parsed: snapshot::Snapshot = serde_json::from_str(&text).expect("it can be parsed");
+    assert_eq!(json(&parsed), text);
 }
 
 #[test]
 fn a_table_is_stored_as_json() {
     let text = fixture("table.json");
-    let table: table::Table = serde_json::from_str(&text).expect("it is read");
+    let table: table::Table = serde_json::from_str(&text).expect("it can be parsed");
     assert_eq!(json(&table), text);
     let node = id::Node::new("dakar-0");
     assert_eq!(table.listed[0].key, member::Key { node, incarnation: 7 });
@@ -144,7 +149,7 @@
         },
         refusal::Refusal::Missing { resource: "drain rewiring".to_owned() },
     ];
-    same("changes.json", &json(&(&change, &refusals)));
+    assert_matches_fixture("changes.json", &json(&(&change, &refusals)));
     let lines: Vec<String> = refusals.iter().map(ToString::to_string).collect();
     let expected = [
         "cap pace: service: expected a declared service",
@@ -152,26 +157,26 @@
         "drain rewiring does not exist",
     ];
     assert_eq!(lines, expected);
-    let again: (change::Change, Vec<refusal::Refusal>) =
-        serde_json::from_str(&fixture("changes.json")).expect("it is read");
-    assert_eq!(again, (change, refusals.to_vec()));
+    let parsed: (change::Change, Vec<refusal::Refusal>) =
+        serde_json::from_str(&fixture("changes.json")).expect("it can be parsed");
+    assert_eq!(parsed, (change, refusals.to_vec()));
 }
 
 #[test]
 fn unknown_fields_are_refused_by_line_and_field() {
-    let parts = DECLARATIONS.split("---\n");
-    let faults: Vec<String> = parts
-        .map(|part| format!("{part}colour: blue\n"))
+    let documents = DECLARATIONS.split("---\n");
+    let errors: Vec<String> = documents
+        .map(|document| format!("{document}colour: blue\n"))
         .map(|text| document::read_resources("d.yaml", &text).expect_err("refused").to_string())
         .collect();
-    same("unknown-fields.txt", &(faults.join("\n") + "\n"));
+    assert_matches_fixture("unknown-fields.txt", &(errors.join("\n") + "\n"));
 }
 
 #[test]
-fn words_of_verdicts_and_reasons() {
+fn verdicts_and_reasons_have_stable_names() {
     let verdicts = [verdict::Verdict::NotRun, verdict::Verdict::MayHaveRun];
     assert_eq!(verdicts.map(verdict::Verdict::as_str), ["not-run", "may-have-run"]);
-    let words = [
+    let names = [
         "unknown-host",
         "keys-not-checked",
         "bad-request",
@@ -188,7 +193,7 @@
         "ticket",
         "running",
     ];
-    for word in words {
-        assert_eq!(verdict::Reason::parse(word).as_str(), word);
+    for name in names {
+        assert_eq!(verdict::Reason::parse(name).as_str(), name);
     }
 }
--- a/crates/model/tests/limit.rs
+++ b/crates/model/tests/limit.rs
@@ -1,8 +1,8 @@
-//! Limits that upstreams name: what is read of the fields.
+//! Tests of parsing the header field with an upstream's limit.
 
 use model::limit::{Field, Rate};
 
-fn said(values: &[Option<&str>]) -> Field {
+fn parse(values: &[Option<&str>]) -> Field {
     Field::read(values.iter().copied())
 }
 
@@ -13,24 +13,24 @@
 #[test]
 fn a_decimal_number_is_a_limit() {
     for (text, rate) in [("3", 3.0), ("0.2", 0.2), (" 7.5 ", 7.5), ("1e3", 1_000.0), ("0", 0.0)] {
-        assert_eq!(said(&[Some(text)]), limit(rate), "{text}");
+        assert_eq!(parse(&[Some(text)]), limit(rate), "{text}");
     }
-    assert_eq!(said(&[Some("1e300")]), limit(1e6), "more than any upstream gets");
+    assert_eq!(parse(&[Some("1e300")]), limit(1e6), "capped at the maximum");
 }
 
 #[test]
-fn what_is_no_rate_is_malformed() {
+fn invalid_rates_are_malformed() {
     for text in ["", " ", "-1", "NaN", "inf", "-inf", "1e999", "three", "3 4", "3,4", "0x10"] {
-        assert_eq!(said(&[Some(text)]), Field::Malformed, "{text:?}");
+        assert_eq!(parse(&[Some(text)]), Field::Malformed, "{text:?}");
     }
-    assert_eq!(said(&[None]), Field::Malformed, "no text");
+    assert_eq!(parse(&[None]), Field::Malformed, "not valid text");
 }
 
 #[test]
-fn of_several_the_lowest_that_can_be_read_counts() {
-    assert_eq!(said(&[]), Field::Absent);
-    assert_eq!(said(&[Some("5"), Some("2"), Some("9")]), limit(2.0));
-    assert_eq!(said(&[Some("-5"), Some("2")]), limit(2.0));
-    assert_eq!(said(&[Some("2"), Some("none")]), limit(2.0));
-    assert_eq!(said(&[Some("x"), None]), Field::Malformed);
+fn the_lowest_valid_value_of_repeated_fields_applies() {
+    assert_eq!(parse(&[]), Field::Absent);
+    assert_eq!(parse(&[Some("5"), Some("2"), Some("9")]), limit(2.0));
+    assert_eq!(parse(&[Some("-5"), Some("2")]), limit(2.0));
+    assert_eq!(parse(&[Some("2"), Some("none")]), limit(2.0));
+    assert_eq!(parse(&[Some("x"), None]), Field::Malformed);
 }
