--- a/crates/model/src/head.rs
+++ b/crates/model/src/head.rs
@@ -18,7 +18,7 @@
     /// Name of the object that the request concerns; requests for the same object share it.
     pub object: Option<&'a str>,
     /// Key of an organisation, if the request carries one.
-    pub key: key::Given,
+    pub key: key::Credential,
 }
 
 /// The decoded head of an upstream's response.
--- a/crates/model/src/key.rs
+++ b/crates/model/src/key.rs
@@ -85,7 +85,7 @@
 
 /// The key that a request presents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Given {
+pub enum Credential {
     /// The request has no key.
     None,
     /// Digest of the key.
@@ -94,7 +94,7 @@
     Malformed,
 }
 
-impl Given {
+impl Credential {
     /// Reads the values of the header field for keys; only the digest of a key is kept.
     pub fn read<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         match (values.next(), values.next()) {
--- a/crates/node/src/gateway/proxy/handler.rs
+++ b/crates/node/src/gateway/proxy/handler.rs
@@ -118,15 +118,15 @@
 fn organisation(
     routing: &routing::Routing,
     route: &route::Route,
-    given: key::Given,
+    given: key::Credential,
 ) -> Result<Option<sync::Arc<organisation::Organisation>>, answer::Reason> {
     let Some(organisations) = routing.organisations.as_ref().filter(|_| !route.is_public) else {
         return Ok(None);
     };
     match given {
-        key::Given::None => Err(answer::Reason::NoKey),
-        key::Given::Malformed => Err(answer::Reason::UnknownKey),
-        key::Given::Key(key) => {
+        key::Credential::None => Err(answer::Reason::NoKey),
+        key::Credential::Malformed => Err(answer::Reason::UnknownKey),
+        key::Credential::Key(key) => {
             let found = organisations.find(&key).ok_or(answer::Reason::UnknownKey)?;
             Ok(Some(sync::Arc::clone(found)))
         }
--- a/crates/node/src/gateway/proxy/head.rs
+++ b/crates/node/src/gateway/proxy/head.rs
@@ -54,7 +54,7 @@
     /// Hash of the object that it is about; none when it names none.
     pub object: Option<u64>,
     /// What it says of a key; the key itself is not kept.
-    pub key: key::Given,
+    pub key: key::Credential,
     dialect: dialect::Dialect,
     parts: request::Parts,
 }
--- a/crates/node/src/gateway/proxy/tries.rs
+++ b/crates/node/src/gateway/proxy/tries.rs
@@ -198,7 +198,7 @@
         let routing = self.server.state.routing.borrow();
         let in_force = routing.as_ref().and_then(|routing| routing.organisations.as_ref());
         match (self.request.organisation, in_force, self.request.head.key) {
-            (Some(organisation), Some(in_force), key::Given::Key(key)) => {
+            (Some(organisation), Some(in_force), key::Credential::Key(key)) => {
                 in_force.find(&key).is_none_or(|found| found.name != organisation.name)
             }
             _ => false,
--- a/crates/node/tests/key_heads.rs
+++ b/crates/node/tests/key_heads.rs
@@ -94,7 +94,7 @@
 }
 
 /// Says what a head gives, by its lines alone.
-fn expected(lines: &[Line]) -> key::Given {
+fn expected(lines: &[Line]) -> key::Credential {
     let keys: Vec<usize> = lines
         .iter()
         .filter_map(|line| match line {
@@ -103,11 +103,11 @@
         })
         .collect();
     match keys.as_slice() {
-        [] => key::Given::None,
+        [] => key::Credential::None,
         [length] if *length > 0 && value(*length).len() <= key::LONGEST => {
-            key::Given::Key(key::Digest::of(value(*length).as_bytes()))
+            key::Credential::Key(key::Digest::of(value(*length).as_bytes()))
         }
-        _ => key::Given::Malformed,
+        _ => key::Credential::Malformed,
     }
 }
 
