--- a/crates/cli/src/commands/key.rs
+++ b/crates/cli/src/commands/key.rs
@@ -34,13 +34,13 @@
 
 /// Reads a key, one line, and digests it; the error does not repeat it.
 fn digest(input: &mut impl io::Read) -> anyhow::Result<key::Digest> {
-    let mut bytes = Zeroizing::new(Vec::with_capacity(key::LONGEST + 2));
+    let mut bytes = Zeroizing::new(Vec::with_capacity(key::MAX_BYTES + 2));
     // One byte more than a key and its end of line, so that a longer one is not cut.
-    let longest = u64::try_from(key::LONGEST + 3)?;
+    let longest = u64::try_from(key::MAX_BYTES + 3)?;
     input.take(longest).read_to_end(&mut bytes).context("standard input cannot be read")?;
     let key = bytes.strip_suffix(b"\n").unwrap_or(&bytes);
     let key = key.strip_suffix(b"\r").unwrap_or(key);
-    let is_key = (1..=key::LONGEST).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
-    anyhow::ensure!(is_key, "expected one key of 1 to {} visible characters", key::LONGEST);
+    let is_key = (1..=key::MAX_BYTES).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
+    anyhow::ensure!(is_key, "expected one key of 1 to {} visible characters", key::MAX_BYTES);
     Ok(key::Digest::of(key))
 }
--- a/crates/model/src/key.rs
+++ b/crates/model/src/key.rs
@@ -11,7 +11,7 @@
 
 /// Maximum length of a key, which bounds the time spent on hashing. Keys have about twenty
 /// characters.
-pub const LONGEST: usize = 256;
+pub const MAX_BYTES: usize = 256;
 
 /// Length of a SHA-256 digest.
 const DIGEST_BYTES: usize = 32;
@@ -99,7 +99,7 @@
     pub fn read<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         match (values.next(), values.next()) {
             (None, _) => Self::None,
-            (Some(key), None) if (1..=LONGEST).contains(&key.len()) => Self::Key(Digest::of(key)),
+            (Some(key), None) if (1..=MAX_BYTES).contains(&key.len()) => Self::Key(Digest::of(key)),
             _ => Self::Malformed,
         }
     }
--- a/crates/node/tests/key_heads.rs
+++ b/crates/node/tests/key_heads.rs
@@ -28,7 +28,7 @@
 
 impl Arbitrary for Line {
     fn arbitrary(g: &mut Gen) -> Self {
-        let lengths = [0, 1, 20, key::LONGEST - MARK.len(), key::LONGEST, 4_000];
+        let lengths = [0, 1, 20, key::MAX_BYTES - MARK.len(), key::MAX_BYTES, 4_000];
         match u8::arbitrary(g) % 5 {
             0 | 1 => Self::Key {
                 cases: u16::arbitrary(g),
@@ -104,7 +104,7 @@
         .collect();
     match keys.as_slice() {
         [] => key::Credential::None,
-        [length] if *length > 0 && value(*length).len() <= key::LONGEST => {
+        [length] if *length > 0 && value(*length).len() <= key::MAX_BYTES => {
             key::Credential::Key(key::Digest::of(value(*length).as_bytes()))
         }
         _ => key::Credential::Malformed,
