--- a/crates/model/src/fingerprint.rs
+++ b/crates/model/src/fingerprint.rs
@@ -27,7 +27,7 @@
 
 /// The parts of a request that identify its content.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct RequestContent<'a> {
     /// HTTP method.
     pub method: &'a str,
     /// Requested host.
@@ -78,8 +78,8 @@
 impl Fingerprint {
     /// Computes the fingerprint of a request.
     #[must_use]
-    pub fn of(asked: &Asked<'_>, sender: &Sender) -> Self {
-        Self { content: Content::of(asked), caller: Caller::of(sender) }
+    pub fn of(content: &RequestContent<'_>, sender: &Sender) -> Self {
+        Self { content: Content::of(content), caller: Caller::of(sender) }
     }
 
     /// Returns a 64-bit hash for distributing requests over upstreams.
@@ -90,12 +90,12 @@
 }
 
 impl Content {
-    fn of(asked: &Asked<'_>) -> Self {
-        let head = asked.head();
+    fn of(content: &RequestContent<'_>) -> Self {
+        let head = content.head();
         let mut hash = sha2::Sha256::new();
         hash.update(head.0.to_be_bytes());
-        hash.update(asked.length.unwrap_or_default().to_be_bytes());
-        hash.update(&asked.body[..asked.body.len().min(BODY_BYTES)]);
+        hash.update(content.length.unwrap_or_default().to_be_bytes());
+        hash.update(&content.body[..content.body.len().min(BODY_BYTES)]);
         Self { head, body: first_number(&hash.finalize()) }
     }
 
@@ -124,7 +124,7 @@
     }
 }
 
-impl Asked<'_> {
+impl RequestContent<'_> {
     /// Computes the hash of everything but the body.
     ///
     /// Most requests already differ in it, and it is cheaper to compute than the whole content
--- a/crates/model/tests/fingerprint.rs
+++ b/crates/model/tests/fingerprint.rs
@@ -2,9 +2,9 @@
 
 use std::net;
 
-use model::fingerprint::{Asked, BODY_BYTES, Content, Fingerprint, Scope, Sender};
+use model::fingerprint::{BODY_BYTES, Content, Fingerprint, RequestContent, Scope, Sender};
 
-const ASKED: Asked<'static> = Asked {
+const CONTENT: RequestContent<'static> = RequestContent {
     method: "GET",
     host: "site.example",
     target: "/read/a?b=c",
@@ -19,23 +19,23 @@
 
 #[test]
 fn the_same_request_of_the_same_caller_has_the_same_fingerprint() {
-    assert_eq!(Fingerprint::of(&ASKED, &sender(1)), Fingerprint::of(&ASKED, &sender(1)));
+    assert_eq!(Fingerprint::of(&CONTENT, &sender(1)), Fingerprint::of(&CONTENT, &sender(1)));
 }
 
 #[test]
 fn any_difference_in_the_content_changes_its_hash() {
     let others = [
-        Asked { method: "POST", ..ASKED },
-        Asked { host: "other.example", ..ASKED },
-        Asked { target: "/read/a?b=d", ..ASKED },
-        Asked { organisation: Some("taxis"), ..ASKED },
-        Asked { organisation: None, ..ASKED },
-        Asked { body: b"bodz", ..ASKED },
-        Asked { length: Some(5), ..ASKED },
+        RequestContent { method: "POST", ..CONTENT },
+        RequestContent { host: "other.example", ..CONTENT },
+        RequestContent { target: "/read/a?b=d", ..CONTENT },
+        RequestContent { organisation: Some("taxis"), ..CONTENT },
+        RequestContent { organisation: None, ..CONTENT },
+        RequestContent { body: b"bodz", ..CONTENT },
+        RequestContent { length: Some(5), ..CONTENT },
         // The concatenation of host and target is the same.
-        Asked { host: "site.example/read", target: "/a?b=c", ..ASKED },
+        RequestContent { host: "site.example/read", target: "/a?b=c", ..CONTENT },
     ];
-    let content = Fingerprint::of(&ASKED, &sender(1)).content;
+    let content = Fingerprint::of(&CONTENT, &sender(1)).content;
     for other in others {
         assert_ne!(Fingerprint::of(&other, &sender(1)).content, content, "{other:?}");
     }
@@ -44,17 +44,17 @@
 #[test]
 fn the_same_request_of_different_callers_differs_only_in_the_caller_hash() {
     let (first, second) =
-        (Fingerprint::of(&ASKED, &sender(1)), Fingerprint::of(&ASKED, &sender(2)));
+        (Fingerprint::of(&CONTENT, &sender(1)), Fingerprint::of(&CONTENT, &sender(2)));
     assert_eq!(first.content, second.content);
     assert_ne!(first.caller, second.caller);
     let without_object = Sender { object: None, ..sender(1) };
-    assert_ne!(Fingerprint::of(&ASKED, &without_object).caller, first.caller);
+    assert_ne!(Fingerprint::of(&CONTENT, &without_object).caller, first.caller);
 }
 
 #[test]
 fn only_the_start_of_a_long_body_is_hashed() {
     let (long, longer) = (vec![1; BODY_BYTES], [vec![1; BODY_BYTES], vec![2]].concat());
-    let fingerprint = |body| Fingerprint::of(&Asked { body, ..ASKED }, &sender(1));
+    let fingerprint = |body| Fingerprint::of(&RequestContent { body, ..CONTENT }, &sender(1));
     assert_eq!(fingerprint(&long), fingerprint(&longer));
     let other = [vec![1; BODY_BYTES - 1], vec![2]].concat();
     assert_ne!(fingerprint(&long), fingerprint(&other));
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_scope_can_be_parsed_from_its_text() {
-    let one_caller = Scope::from(Fingerprint::of(&ASKED, &sender(1)));
+    let one_caller = Scope::from(Fingerprint::of(&CONTENT, &sender(1)));
     let any_caller = Scope { caller: None, ..one_caller };
     for scope in [one_caller, any_caller] {
         assert_eq!(Scope::parse(&scope.to_string()), Some(scope));
--- a/crates/node/src/gateway/proxy/head.rs
+++ b/crates/node/src/gateway/proxy/head.rs
@@ -116,8 +116,8 @@
         &'a self,
         organisation: Option<&'a id::Organisation>,
         body: &'a [u8],
-    ) -> fingerprint::Asked<'a> {
-        fingerprint::Asked {
+    ) -> fingerprint::RequestContent<'a> {
+        fingerprint::RequestContent {
             method: self.parts.method.as_str(),
             host: &self.host,
             target: self.parts.uri.path_and_query().map_or("/", |target| target.as_str()),
--- a/crates/steer/tests/quarantine/fleet.rs
+++ b/crates/steer/tests/quarantine/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use model::discovery;
-use model::fingerprint::{Asked, Fingerprint, Sender};
+use model::fingerprint::{Fingerprint, RequestContent, Sender};
 use rand::{RngExt as _, SeedableRng as _, rngs};
 use steer::dispatch::quarantine::Quarantine;
 use steer::dispatch::quarantine::report::{Report, Source};
@@ -455,7 +455,7 @@
 
 /// Returns the fingerprint of a request for `path` by a caller.
 pub fn fingerprint(path: &str, caller: u32) -> Fingerprint {
-    let asked = Asked {
+    let asked = RequestContent {
         method: "GET",
         host: "site.example",
         target: path,
