--- a/crates/model/src/fingerprint.rs
+++ b/crates/model/src/fingerprint.rs
@@ -44,7 +44,7 @@
 
 /// The properties of a caller that identify it.
 #[derive(Clone, Copy, Debug)]
-pub struct Sender {
+pub struct CallerIdentity {
     /// Source address of the connection.
     pub address: net::IpAddr,
     /// Hash of the object that the caller's cookie names.
@@ -78,8 +78,8 @@
 impl Fingerprint {
     /// Computes the fingerprint of a request.
     #[must_use]
-    pub fn of(content: &RequestContent<'_>, sender: &Sender) -> Self {
-        Self { content: Content::of(content), caller: Caller::of(sender) }
+    pub fn of(content: &RequestContent<'_>, caller: &CallerIdentity) -> Self {
+        Self { content: Content::of(content), caller: Caller::of(caller) }
     }
 
     /// Returns a 64-bit hash for distributing requests over upstreams.
@@ -148,11 +148,11 @@
 }
 
 impl Caller {
-    fn of(sender: &Sender) -> Self {
+    fn of(caller: &CallerIdentity) -> Self {
         let mut hash = sha2::Sha256::new();
-        hash.update(sender.address.to_string());
+        hash.update(caller.address.to_string());
         // A caller without an object hashes differently from a caller with any object.
-        if let Some(object) = sender.object {
+        if let Some(object) = caller.object {
             hash.update(object.to_be_bytes());
         }
         Self(first_number(&hash.finalize()))
--- a/crates/model/tests/fingerprint.rs
+++ b/crates/model/tests/fingerprint.rs
@@ -2,7 +2,7 @@
 
 use std::net;
 
-use model::fingerprint::{BODY_BYTES, Content, Fingerprint, RequestContent, Scope, Sender};
+use model::fingerprint::{BODY_BYTES, CallerIdentity, Content, Fingerprint, RequestContent, Scope};
 
 const CONTENT: RequestContent<'static> = RequestContent {
     method: "GET",
@@ -13,8 +13,8 @@
     length: Some(4),
 };
 
-fn sender(last: u8) -> Sender {
-    Sender { address: net::IpAddr::V4(net::Ipv4Addr::new(10, 0, 0, last)), object: Some(7) }
+fn sender(last: u8) -> CallerIdentity {
+    CallerIdentity { address: net::IpAddr::V4(net::Ipv4Addr::new(10, 0, 0, last)), object: Some(7) }
 }
 
 #[test]
@@ -47,7 +47,7 @@
         (Fingerprint::of(&CONTENT, &sender(1)), Fingerprint::of(&CONTENT, &sender(2)));
     assert_eq!(first.content, second.content);
     assert_ne!(first.caller, second.caller);
-    let without_object = Sender { object: None, ..sender(1) };
+    let without_object = CallerIdentity { object: None, ..sender(1) };
     assert_ne!(Fingerprint::of(&CONTENT, &without_object).caller, first.caller);
 }
 
--- a/crates/node/src/gateway/proxy/head.rs
+++ b/crates/node/src/gateway/proxy/head.rs
@@ -102,7 +102,7 @@
         organisation: Option<&id::Organisation>,
         body: &[u8],
     ) -> fingerprint::Fingerprint {
-        let sender = fingerprint::Sender { address: self.caller, object: self.object };
+        let sender = fingerprint::CallerIdentity { address: self.caller, object: self.object };
         fingerprint::Fingerprint::of(&self.asked(organisation, body), &sender)
     }
 
--- a/crates/steer/tests/quarantine/fleet.rs
+++ b/crates/steer/tests/quarantine/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use model::discovery;
-use model::fingerprint::{Fingerprint, RequestContent, Sender};
+use model::fingerprint::{CallerIdentity, Fingerprint, RequestContent};
 use rand::{RngExt as _, SeedableRng as _, rngs};
 use steer::dispatch::quarantine::Quarantine;
 use steer::dispatch::quarantine::report::{Report, Source};
@@ -464,5 +464,5 @@
         length: None,
     };
     let address = net::IpAddr::V4(net::Ipv4Addr::from(caller));
-    Fingerprint::of(&asked, &Sender { address, object: None })
+    Fingerprint::of(&asked, &CallerIdentity { address, object: None })
 }
