--- a/crates/model/src/fingerprint.rs
+++ b/crates/model/src/fingerprint.rs
@@ -119,7 +119,7 @@
 
     /// Returns the range of all contents with this head, for ordered maps and sets.
     #[must_use]
-    pub fn range_of(head: Head) -> ops::RangeInclusive<Self> {
+    pub fn range_with_head(head: Head) -> ops::RangeInclusive<Self> {
         Self { head, body: u64::MIN }..=Self { head, body: u64::MAX }
     }
 }
--- a/crates/steer/src/dispatch/quarantine/record.rs
+++ b/crates/steer/src/dispatch/quarantine/record.rs
@@ -62,7 +62,7 @@
     /// Returns whether a request of this head was in flight at a crash.
     #[must_use]
     pub fn contains_head(&self, head: Head) -> bool {
-        self.suspects.range(Content::range_of(head)).next().is_some()
+        self.suspects.range(Content::range_with_head(head)).next().is_some()
     }
 
     /// Returns the contents that are remembered.
--- a/crates/steer/src/dispatch/quarantine/ruling.rs
+++ b/crates/steer/src/dispatch/quarantine/ruling.rs
@@ -61,7 +61,7 @@
     /// Returns whether there is one on a request of this head.
     #[must_use]
     pub fn contains_head(&self, head: Head) -> bool {
-        let contents = Content::range_of(head);
+        let contents = Content::range_with_head(head);
         let first = Scope { content: *contents.start(), caller: None };
         self.0.range(first..).next().is_some_and(|(scope, _)| contents.contains(&scope.content))
     }
