--- a/crates/model/src/fingerprint.rs
+++ b/crates/model/src/fingerprint.rs
@@ -84,7 +84,7 @@
 
     /// Returns a 64-bit hash for distributing requests over upstreams.
     #[must_use]
-    pub fn spread(&self) -> u64 {
+    pub fn affinity_hash(&self) -> u64 {
         self.content.head.0 ^ self.content.body ^ self.caller.0
     }
 }
--- a/crates/node/src/gateway/proxy/identity.rs
+++ b/crates/node/src/gateway/proxy/identity.rs
@@ -61,7 +61,7 @@
         let suspect = self.suspect();
         let quarantine = self.state.quarantine.borrow();
         match (suspect, self.head.object) {
-            (Some(suspect), _) if quarantine.is_apart(&suspect) => suspect.spread(),
+            (Some(suspect), _) if quarantine.is_apart(&suspect) => suspect.affinity_hash(),
             (_, Some(object)) => object,
             (_, None) => self.head.spread(),
         }
--- a/crates/steer/tests/quarantine/fleet.rs
+++ b/crates/steer/tests/quarantine/fleet.rs
@@ -257,7 +257,7 @@
             return;
         }
         let key = match self.nodes[node].is_apart(&visit.fingerprint) {
-            true => visit.fingerprint.spread(),
+            true => visit.fingerprint.affinity_hash(),
             false => visit.object,
         };
         let mut preferred: Vec<usize> = (0..self.plan.upstreams).collect();
