--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -46,25 +46,25 @@
 impl Service {
     /// Returns the conditions for retrying a request.
     #[must_use]
-    pub fn repetition(&self, method: &str, path: &str) -> Repetition {
+    pub fn retry_policy(&self, method: &str, path: &str) -> RetryPolicy {
         let matches_any = |patterns: &[Pattern]| patterns.iter().any(|p| p.matches(method, path));
         match () {
-            () if matches_any(&self.once) => Repetition::Once,
-            () if matches_any(&self.repeatable) => Repetition::Free,
-            () => Repetition::Proved,
+            () if matches_any(&self.once) => RetryPolicy::Ticketed,
+            () if matches_any(&self.repeatable) => RetryPolicy::Idempotent,
+            () => RetryPolicy::NonIdempotent,
         }
     }
 }
 
 /// The conditions for sending a request again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repetition {
+pub enum RetryPolicy {
     /// May be sent again within the retry budget, even if it may have run.
-    Free,
+    Idempotent,
     /// May be sent again only if it provably did not run.
-    Proved,
+    NonIdempotent,
     /// May be sent again only if it provably did not run, and only with the same ticket.
-    Once,
+    Ticketed,
 }
 
 /// Matches requests by method and path prefix.
--- a/crates/node/src/owner/callers/entry/mod.rs
+++ b/crates/node/src/owner/callers/entry/mod.rs
@@ -81,7 +81,7 @@
         mut source: body::Source,
         region: Option<id::Region>,
     ) -> Result<Response<body::Body>, verdict::Failure> {
-        let repetition = order.service.repetition(order.method.as_str(), &order.path);
+        let repetition = order.service.retry_policy(order.method.as_str(), &order.path);
         let name = order.service.name.clone();
         let place = order.place.clone();
         let (routed, mut decision) = self.handle.route(name, place, region).await;
--- a/crates/node/src/owner/callers/server.rs
+++ b/crates/node/src/owner/callers/server.rs
@@ -194,13 +194,13 @@
         source: body::Source,
         ticket: Option<&str>,
     ) -> Result<Response<body::Body>, verdict::Failure> {
-        let repetition = order.service.repetition(order.method.as_str(), &order.path);
+        let repetition = order.service.retry_policy(order.method.as_str(), &order.path);
         match (repetition, ticket, source) {
-            (service::Repetition::Once, Some(ticket), body::Source::Kept(kept)) => {
+            (service::RetryPolicy::Ticketed, Some(ticket), body::Source::Kept(kept)) => {
                 self.entry.enter_with(order, ticket, kept).await
             }
             // A ticket's request must be repeatable by its caller, so its body must be small.
-            (service::Repetition::Once, Some(_), _) => {
+            (service::RetryPolicy::Ticketed, Some(_), _) => {
                 Err(verdict::Failure::not_run(verdict::Reason::BadRequest))
             }
             (_, _, source) => self.entry.enter(order, source, None).await,
--- a/crates/node/src/owner/handle/routed.rs
+++ b/crates/node/src/owner/handle/routed.rs
@@ -20,7 +20,7 @@
     pub async fn failed(
         &self,
         failure: verdict::Failure,
-        repetition: service::Repetition,
+        repetition: service::RetryPolicy,
     ) -> message::Decision {
         let event = event::Event::Failed { request: self.id, failure, repetition };
         self.handle.ask(event, self.id).await.decision
--- a/crates/steer/src/ownership/event.rs
+++ b/crates/steer/src/ownership/event.rs
@@ -70,7 +70,7 @@
         /// How it failed.
         failure: verdict::Failure,
         /// When it may be sent a second time.
-        repetition: service::Repetition,
+        repetition: service::RetryPolicy,
     },
     /// A request wants a slot here.
     Offer {
--- a/crates/steer/src/ownership/retry.rs
+++ b/crates/steer/src/ownership/retry.rs
@@ -18,7 +18,7 @@
 /// upstream was asked for costs budget.
 pub fn may_retry(
     failure: verdict::Failure,
-    repetition: service::Repetition,
+    repetition: service::RetryPolicy,
     tries: u32,
     budget: &mut budget::Budget,
 ) -> bool {
@@ -29,7 +29,7 @@
         _ if tries >= MOST_TRIES => false,
         (Verdict::NotRun, Reason::NotHome | Reason::NotReady) => true,
         (Verdict::NotRun, Reason::Shed | Reason::Unreachable) => budget.spend(),
-        (Verdict::MayHaveRun, Reason::Broken) if repetition == service::Repetition::Free => {
+        (Verdict::MayHaveRun, Reason::Broken) if repetition == service::RetryPolicy::Idempotent => {
             budget.spend()
         }
         _ => false,
--- a/crates/steer/src/ownership/router/mod.rs
+++ b/crates/steer/src/ownership/router/mod.rs
@@ -181,7 +181,7 @@
         &mut self,
         request: request::Id,
         failure: verdict::Failure,
-        repetition: service::Repetition,
+        repetition: service::RetryPolicy,
         view: &View<'_>,
         out: &mut Vec<action::Action>,
     ) {
--- a/crates/steer/tests/verdicts.rs
+++ b/crates/steer/tests/verdicts.rs
@@ -1,6 +1,6 @@
 //! Verdicts and retries: what a caller is told covers every try.
 
-use model::service::Repetition;
+use model::service::RetryPolicy;
 use model::verdict::{Failure, Reason, Verdict};
 use steer::ownership::budget::Budget;
 use steer::ownership::retry;
@@ -16,13 +16,13 @@
 fn only_what_is_proved_or_declared_is_sent_again() {
     let may = |failure, repetition| retry::may_retry(failure, repetition, 1, &mut Budget::new());
     let broken = Failure::may_have_run(Reason::Broken);
-    assert!(may(broken, Repetition::Free));
-    assert!(!may(broken, Repetition::Proved));
-    assert!(!may(broken, Repetition::Once));
+    assert!(may(broken, RetryPolicy::Idempotent));
+    assert!(!may(broken, RetryPolicy::NonIdempotent));
+    assert!(!may(broken, RetryPolicy::Ticketed));
     let shed = Failure::not_run(Reason::Shed);
-    assert!(may(shed, Repetition::Once));
-    assert!(!may(Failure::not_run(Reason::Full), Repetition::Free));
-    assert!(!may(Failure::may_have_run(Reason::Deadline), Repetition::Free));
+    assert!(may(shed, RetryPolicy::Ticketed));
+    assert!(!may(Failure::not_run(Reason::Full), RetryPolicy::Idempotent));
+    assert!(!may(Failure::may_have_run(Reason::Deadline), RetryPolicy::Idempotent));
 }
 
 /// With every upstream failing, second tries stay within a tenth of first tries and a few more.
@@ -35,7 +35,7 @@
         budget.earn();
         let failure = Failure::not_run(Reason::Unreachable);
         let mut tries = 1;
-        while retry::may_retry(failure, Repetition::Free, tries, &mut budget) {
+        while retry::may_retry(failure, RetryPolicy::Idempotent, tries, &mut budget) {
             tries += 1;
             second += 1;
         }
