--- a/crates/bench/src/scale/fleet.rs
+++ b/crates/bench/src/scale/fleet.rs
@@ -238,7 +238,7 @@
     let places = (0..SITES).map(|n| resource::Resource::Place(place(n)));
     let steps = services.chain(places).map(|resource| change::Step::Put { resource }).collect();
     let change = change::Change { operation: "scale".to_owned(), expected: None, steps };
-    let facts = check::facts::Facts::at(wall);
+    let facts = check::context::Context::at(wall);
     acceptance::apply(&snapshot::Snapshot::default(), &change, &facts)
         .expect("the declarations are valid")
 }
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -53,7 +53,7 @@
     let count = declared.len();
     let steps = declared.into_iter().map(|resource| change::Step::Put { resource }).collect();
     let change = change::Change { operation: "check".to_owned(), expected: None, steps };
-    let facts = check::facts::Facts::at(SystemTime::now());
+    let facts = check::context::Context::at(SystemTime::now());
     match acceptance::apply(&snapshot::Snapshot::default(), &change, &facts) {
         Ok(_) => {
             printer::line(&format!("{count} declarations are valid"));
--- a/crates/model/src/acceptance.rs
+++ b/crates/model/src/acceptance.rs
@@ -14,7 +14,7 @@
 pub fn apply(
     previous: &snapshot::Snapshot,
     change: &change::Change,
-    facts: &check::facts::Facts,
+    context: &check::context::Context,
 ) -> Result<snapshot::Snapshot, refusal::Refusal> {
     match change.expected {
         Some(expected) if expected != previous.revision => {
@@ -27,7 +27,7 @@
     for step in &change.steps {
         next.apply_step(step)?;
     }
-    check::check(&next, previous, facts)?;
+    check::check(&next, previous, context)?;
     next.record_operation(&change.operation);
     Ok(next)
 }
--- a/crates/model/src/check/drain.rs
+++ b/crates/model/src/check/drain.rs
@@ -4,7 +4,7 @@
 use std::collections;
 use std::time::Duration;
 
-use super::facts;
+use super::context;
 use super::findings::{Findings, NAME_RULE};
 use crate::drain;
 use crate::fraction;
@@ -18,7 +18,7 @@
 struct DrainCheck<'a> {
     drain: &'a drain::Drain,
     next: &'a snapshot::Snapshot,
-    facts: &'a facts::Facts,
+    context: &'a context::Context,
     /// Kind and name of the drain, as used in problems.
     resource: &'a str,
 }
@@ -29,7 +29,7 @@
 pub(super) fn check(
     drain: &drain::Drain,
     next: &snapshot::Snapshot,
-    facts: &facts::Facts,
+    context: &context::Context,
     is_changed: bool,
     findings: &mut Findings,
 ) {
@@ -49,8 +49,8 @@
     if !is_changed {
         return;
     }
-    findings.expect(facts.wall < drain.end, &resource, "end", "expected an end in the future");
-    let check = DrainCheck { drain, next, facts, resource: &resource };
+    findings.expect(context.wall < drain.end, &resource, "end", "expected an end in the future");
+    let check = DrainCheck { drain, next, context, resource: &resource };
     for service in affected {
         check_lead_time(&check, service, findings);
         check_capacity(&check, service, findings);
@@ -62,13 +62,13 @@
 /// The drain of a whole region moves all of its traffic. The drain of a part of a region moves only
 /// the traffic that exceeds the remaining slots of that region.
 fn check_lead_time(check: &DrainCheck<'_>, service: &service::Service, findings: &mut Findings) {
-    let DrainCheck { drain, next, facts, resource } = *check;
+    let DrainCheck { drain, next, context, resource } = *check;
     let Some(cap) = next.caps.values().map(|c| &c.spec).find(|c| c.service == service.name) else {
         return;
     };
-    let Some((region, share)) = share_to_move(drain, service, facts) else { return };
+    let Some((region, share)) = share_to_move(drain, service, context) else { return };
     let needed = cap.time_to_move(share);
-    let available = drain.start.duration_since(facts.wall).unwrap_or_default();
+    let available = drain.start.duration_since(context.wall).unwrap_or_default();
     if available < needed {
         let message = format!(
             "cap {} moves {} in {}, so moving {share} of service {} out of region {region} takes \
@@ -88,10 +88,10 @@
 fn share_to_move(
     drain: &drain::Drain,
     service: &service::Service,
-    facts: &facts::Facts,
+    context: &context::Context,
 ) -> Option<(id::Region, fraction::Fraction)> {
-    let no_usage = facts::Use::new();
-    let in_use = facts.in_use.get(&service.name).unwrap_or(&no_usage);
+    let no_usage = context::SlotUsage::new();
+    let in_use = context.in_use.get(&service.name).unwrap_or(&no_usage);
     let regions: collections::BTreeSet<&id::Region> =
         service.upstreams.iter().map(|u| &u.region).collect();
     let share = |region: &id::Region| {
@@ -114,14 +114,14 @@
 
 /// Checks that the slots that no overlapping drain covers are sufficient for the current usage.
 fn check_capacity(check: &DrainCheck<'_>, service: &service::Service, findings: &mut Findings) {
-    let DrainCheck { drain, next, facts, resource } = *check;
+    let DrainCheck { drain, next, context, resource } = *check;
     let drains = next.drains.values().map(|d| &*d.spec);
     let overlapping: Vec<&drain::Drain> = drains.filter(|d| d.overlaps(drain)).collect();
     let is_drained = |u: &&upstream::Upstream| overlapping.iter().any(|d| d.target.holds(u));
     let total: u32 = service.upstreams.iter().map(|u| u.slots).sum();
     let drained: u32 = service.upstreams.iter().filter(is_drained).map(|u| u.slots).sum();
     let remaining = total - drained;
-    let in_use: u32 = facts.in_use.get(&service.name).into_iter().flatten().map(|(_, n)| n).sum();
+    let in_use: u32 = context.in_use.get(&service.name).into_iter().flatten().map(|(_, n)| n).sum();
     if remaining == 0 || remaining < in_use {
         let message = format!(
             "service {} has {total} slots, {drained} would be drained at the same time and \
--- a/crates/model/src/check/mod.rs
+++ b/crates/model/src/check/mod.rs
@@ -4,9 +4,9 @@
 //! operator sees every problem of a change at once.
 
 mod cap;
+pub mod context;
 mod drain;
 mod evacuation;
-pub mod facts;
 mod findings;
 mod organisation;
 mod place;
@@ -29,7 +29,7 @@
 pub fn check(
     next: &snapshot::Snapshot,
     previous: &snapshot::Snapshot,
-    facts: &facts::Facts,
+    context: &context::Context,
 ) -> Result<(), refusal::Refusal> {
     let mut findings = findings::Findings::default();
     for stored in next.services.values() {
@@ -47,7 +47,7 @@
     for stored in next.drains.values() {
         let is_changed =
             previous.drains.get(&stored.spec.name).map(|s| s.revision) != Some(stored.revision);
-        drain::check(&stored.spec, next, facts, is_changed, &mut findings);
+        drain::check(&stored.spec, next, context, is_changed, &mut findings);
     }
     for stored in next.routes.values() {
         route::check(&stored.spec, next, &mut findings);
--- a/crates/model/tests/declarations.rs
+++ b/crates/model/tests/declarations.rs
@@ -5,7 +5,7 @@
 
 use model::acceptance;
 use model::change::{Change, Step};
-use model::check::facts::{Facts, Use};
+use model::check::context::{Context, SlotUsage};
 use model::document;
 use model::id;
 use model::refusal::Refusal;
@@ -26,7 +26,7 @@
     }
     let change = Change { operation: "start".to_owned(), expected: None, steps };
     let empty = Snapshot::default();
-    acceptance::apply(&empty, &change, &Facts::at(SystemTime::now()))
+    acceptance::apply(&empty, &change, &Context::at(SystemTime::now()))
         .expect("the example is accepted")
 }
 
@@ -35,8 +35,8 @@
     Change { operation: text.to_owned(), expected: None, steps: vec![Step::Put { resource }] }
 }
 
-fn problems(snapshot: &Snapshot, change: &Change, facts: &Facts) -> String {
-    match acceptance::apply(snapshot, change, facts) {
+fn problems(snapshot: &Snapshot, change: &Change, context: &Context) -> String {
+    match acceptance::apply(snapshot, change, context) {
         Err(Refusal::Invalid { problems }) => {
             problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
         }
@@ -60,7 +60,7 @@
         let steps: Vec<Step> =
             first.resources().into_iter().map(|(_, resource)| Step::Put { resource }).collect();
         let again = Change { operation: "again".to_owned(), expected: None, steps };
-        let second = acceptance::apply(&first, &again, &Facts::at(SystemTime::now()))
+        let second = acceptance::apply(&first, &again, &Context::at(SystemTime::now()))
             .expect("the change is accepted");
         assert_eq!(second.revision, Revision(2));
         assert_eq!(second.services, first.services, "revisions of unchanged resources");
@@ -85,29 +85,29 @@
 fn a_drain_that_starts_sooner_than_the_cap_allows_is_refused_with_the_time_needed() {
     let snapshot = example("diagne");
     let now = SystemTime::now();
-    let facts = Facts::at(now);
+    let context = Context::at(now);
     let soon = drain_change("region: dakar", Duration::from_secs(2), now);
-    let message = problems(&snapshot, &soon, &facts);
+    let message = problems(&snapshot, &soon, &context);
     assert!(message.contains("moves 25% in 1s"), "{message}");
     assert!(message.contains("out of region dakar takes 4s, but the start is"), "{message}");
     let later = drain_change("region: dakar", Duration::from_secs(5), now);
-    acceptance::apply(&snapshot, &later, &facts).expect("four seconds are enough");
+    acceptance::apply(&snapshot, &later, &context).expect("four seconds are enough");
 }
 
 #[test]
 fn overlapping_drains_that_leave_too_few_slots_are_refused() {
     let snapshot = example("diagne");
     let now = SystemTime::now();
-    let used = Use::from([(id::Region::new("dakar"), 30), (id::Region::new("thies"), 30)]);
-    let facts = Facts { wall: now, in_use: [(id::Service::new("catalogue"), used)].into() };
+    let used = SlotUsage::from([(id::Region::new("dakar"), 30), (id::Region::new("thies"), 30)]);
+    let context = Context { wall: now, in_use: [(id::Service::new("catalogue"), used)].into() };
     let later = Duration::from_secs(60);
     let one = drain_change("region: ziguinchor", later, now);
-    let one = acceptance::apply(&snapshot, &one, &facts).expect("84 slots are left for 60");
+    let one = acceptance::apply(&snapshot, &one, &context).expect("84 slots are left for 60");
     let mut two = drain_change("region: thies", later, now);
     if let Step::Put { resource: model::resource::Resource::Drain(drain) } = &mut two.steps[0] {
         drain.name = id::Drain::new("other");
     }
-    let message = problems(&one, &two, &facts);
+    let message = problems(&one, &two, &context);
     assert!(message.contains("120 slots, 78 would be drained"), "{message}");
 }
 
@@ -115,12 +115,15 @@
 fn invalid_and_stale_changes_are_refused() {
     let snapshot = example("taf");
     let cap = "name: other\nservice: rhestr\nshare: 5\nwindow: 10s\n";
-    let message = problems(&snapshot, &put_change(Kind::Cap, cap), &Facts::at(SystemTime::now()));
+    let message = problems(&snapshot, &put_change(Kind::Cap, cap), &Context::at(SystemTime::now()));
     assert!(message.contains("binds the same service"), "{message}");
     let mut stale = put_change(Kind::Place, "name: p\nblocks: [\"10.9.0.0/16\"]\nlinks: []\n");
     stale.expected = Some(Revision(9));
     let conflict = Refusal::Conflict { expected: Revision(9), found: Revision(1) };
-    assert_eq!(acceptance::apply(&snapshot, &stale, &Facts::at(SystemTime::now())), Err(conflict));
+    assert_eq!(
+        acceptance::apply(&snapshot, &stale, &Context::at(SystemTime::now())),
+        Err(conflict)
+    );
 }
 
 const ROUTE: &str = "name: reads\nhost: find.example\nprefix: /items/\nrepetition: idempotent\n\
@@ -128,7 +131,7 @@
 
 #[test]
 fn a_route_and_an_evacuation_can_be_created_and_deleted() {
-    let now = Facts::at(SystemTime::now());
+    let now = Context::at(SystemTime::now());
     let first = example("diagne");
     let second = acceptance::apply(&first, &put_change(Kind::Route, ROUTE), &now)
         .expect("the change is accepted");
@@ -144,7 +147,7 @@
 
 #[test]
 fn invalid_routes_are_refused_by_field() {
-    let now = Facts::at(SystemTime::now());
+    let now = Context::at(SystemTime::now());
     let current = acceptance::apply(&example("diagne"), &put_change(Kind::Route, ROUTE), &now)
         .expect("the change is accepted");
     let invalid = [
@@ -174,7 +177,7 @@
 
 #[test]
 fn an_organisation_can_be_created_and_deleted() {
-    let now = Facts::at(SystemTime::now());
+    let now = Context::at(SystemTime::now());
     let text = organisation("priority: 1\nquota: { rate: 2.5 }\nhome_regions: [dakar]\n");
     let first = example("diagne");
     let second = acceptance::apply(&first, &put_change(Kind::Organisation, &text), &now)
@@ -188,7 +191,7 @@
 
 #[test]
 fn invalid_organisations_are_refused_by_field() {
-    let now = Facts::at(SystemTime::now());
+    let now = Context::at(SystemTime::now());
     let current = put_change(Kind::Organisation, &organisation(""));
     let current =
         acceptance::apply(&example("diagne"), &current, &now).expect("the change is accepted");
--- a/crates/model/tests/forms.rs
+++ b/crates/model/tests/forms.rs
@@ -48,8 +48,8 @@
 fn stored_configuration() -> snapshot::Snapshot {
     let steps = declarations().into_iter().map(|resource| change::Step::Put { resource }).collect();
     let change = change::Change { operation: "first".to_owned(), expected: None, steps };
-    let facts = check::facts::Facts::at(SystemTime::UNIX_EPOCH);
-    acceptance::apply(&snapshot::Snapshot::default(), &change, &facts)
+    let context = check::context::Context::at(SystemTime::UNIX_EPOCH);
+    acceptance::apply(&snapshot::Snapshot::default(), &change, &context)
         .expect("the declarations are accepted")
 }
 
--- a/crates/node/src/common/store/accept.rs
+++ b/crates/node/src/common/store/accept.rs
@@ -151,7 +151,7 @@
 pub async fn apply<S: edge::Store>(
     store: &S,
     change: &change::Change,
-    facts: &check::facts::Facts,
+    facts: &check::context::Context,
 ) -> (Outcome, Option<sync::Arc<snapshot::Snapshot>>) {
     let mut attempts = Attempts::new();
     for _ in 0..TRIES {
--- a/crates/node/src/owner/store/follower.rs
+++ b/crates/node/src/owner/store/follower.rs
@@ -175,7 +175,7 @@
     async fn apply_writes(&self, mut writes: mpsc::Receiver<Write>) {
         while let Some(write) = writes.recv().await {
             let view = self.handle.view();
-            let facts = check::facts::Facts {
+            let facts = check::context::Context {
                 wall: self.handle.clock().wall(),
                 in_use: view.in_use.clone(),
             };
--- a/crates/node/src/owner/view.rs
+++ b/crates/node/src/owner/view.rs
@@ -35,7 +35,7 @@
     /// Live nodes that hold a lower revision.
     pub lagging: Vec<id::Node>,
     /// Slots in use by each service in each region.
-    pub in_use: collections::BTreeMap<id::Service, check::facts::Use>,
+    pub in_use: collections::BTreeMap<id::Service, check::context::SlotUsage>,
     /// Whether this node is one that watches the store for its region.
     pub is_watcher: bool,
 }
--- a/crates/steer/src/ownership/core/mod.rs
+++ b/crates/steer/src/ownership/core/mod.rs
@@ -170,8 +170,12 @@
 
     /// Returns the slots in use by each service in each region.
     #[must_use]
-    pub fn in_use(&self, now: Instant) -> collections::BTreeMap<id::Service, check::facts::Use> {
-        let mut in_use: collections::BTreeMap<_, check::facts::Use> = collections::BTreeMap::new();
+    pub fn in_use(
+        &self,
+        now: Instant,
+    ) -> collections::BTreeMap<id::Service, check::context::SlotUsage> {
+        let mut in_use: collections::BTreeMap<_, check::context::SlotUsage> =
+            collections::BTreeMap::new();
         for summary in self.router.summaries.fresh_regions(now) {
             let of_service = in_use.entry(summary.service.clone()).or_default();
             of_service.insert(summary.region.clone(), summary.in_flight);
--- a/crates/steer/tests/core.rs
+++ b/crates/steer/tests/core.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use model::change::{Change, Step};
-use model::check::facts::Facts;
+use model::check::context::Context;
 use model::document;
 use model::epoch::Epoch;
 use model::id;
@@ -41,7 +41,7 @@
     let resource = document::read_kind("test", kind, text).expect("it is well-formed");
     let steps = vec![Step::Put { resource }];
     let change = Change { operation: text.to_owned(), expected: None, steps };
-    Arc::new(model::acceptance::apply(before, &change, &Facts::at(wall)).expect("it is accepted"))
+    Arc::new(model::acceptance::apply(before, &change, &Context::at(wall)).expect("it is accepted"))
 }
 
 struct Node {
--- a/crates/steer/tests/fleet/world.rs
+++ b/crates/steer/tests/fleet/world.rs
@@ -612,6 +612,6 @@
     let steps = vec![change::Step::Put { resource }];
     let change = change::Change { operation: "start".to_owned(), expected: None, steps };
     let empty = snapshot::Snapshot::default();
-    model::acceptance::apply(&empty, &change, &check::facts::Facts::at(wall))
+    model::acceptance::apply(&empty, &change, &check::context::Context::at(wall))
         .expect("the declaration is valid")
 }
