--- a/crates/model/src/check/drain.rs
+++ b/crates/model/src/check/drain.rs
@@ -38,7 +38,7 @@
     findings.expect(drain.start < drain.end, &resource, "end", "expected an end after the start");
     let services = next.services.values().map(|s| &*s.spec);
     let affected: Vec<&service::Service> =
-        services.filter(|s| s.upstreams.iter().any(|u| drain.target.holds(u))).collect();
+        services.filter(|s| s.upstreams.iter().any(|u| drain.target.contains(u))).collect();
     findings.expect(
         !affected.is_empty(),
         &resource,
@@ -96,7 +96,7 @@
         service.upstreams.iter().map(|u| &u.region).collect();
     let share = |region: &id::Region| {
         let of_region = service.upstreams.iter().filter(|u| u.region == *region);
-        let kept = of_region.filter(|u| !drain.target.holds(u)).map(|u| u.slots);
+        let kept = of_region.filter(|u| !drain.target.contains(u)).map(|u| u.slots);
         let kept: u32 = kept.sum();
         let used = in_use.get(region).copied().unwrap_or(0);
         match kept {
@@ -105,7 +105,7 @@
         }
     };
     let is_affected = |region: &&id::Region| {
-        service.upstreams.iter().any(|u| u.region == **region && drain.target.holds(u))
+        service.upstreams.iter().any(|u| u.region == **region && drain.target.contains(u))
     };
     let shares =
         regions.into_iter().filter(is_affected).map(|region| (region.clone(), share(region)));
@@ -117,7 +117,7 @@
     let DrainCheck { drain, next, context, resource } = *check;
     let drains = next.drains.values().map(|d| &*d.spec);
     let overlapping: Vec<&drain::Drain> = drains.filter(|d| d.overlaps(drain)).collect();
-    let is_drained = |u: &&upstream::Upstream| overlapping.iter().any(|d| d.target.holds(u));
+    let is_drained = |u: &&upstream::Upstream| overlapping.iter().any(|d| d.target.contains(u));
     let total: u32 = service.upstreams.iter().map(|u| u.slots).sum();
     let drained: u32 = service.upstreams.iter().filter(is_drained).map(|u| u.slots).sum();
     let remaining = total - drained;
--- a/crates/model/src/drain.rs
+++ b/crates/model/src/drain.rs
@@ -29,7 +29,7 @@
     /// Returns whether the drain is active at `wall` and `upstream` is part of its target.
     #[must_use]
     pub fn covers(&self, upstream: &upstream::Upstream, wall: SystemTime) -> bool {
-        self.is_on(wall) && self.target.holds(upstream)
+        self.is_on(wall) && self.target.contains(upstream)
     }
 
     /// Returns whether the drain is active at `wall`; the end is exclusive.
@@ -60,7 +60,7 @@
 impl Target {
     /// Returns whether `upstream` is part of the target.
     #[must_use]
-    pub fn holds(&self, upstream: &upstream::Upstream) -> bool {
+    pub fn contains(&self, upstream: &upstream::Upstream) -> bool {
         match self {
             Self::Region(region) => *region == upstream.region,
             Self::Hall(hall) => *hall == upstream.hall,
--- a/crates/node/src/gateway/declarations.rs
+++ b/crates/node/src/gateway/declarations.rs
@@ -156,7 +156,7 @@
         address: upstream.address,
         hall: upstream.hall.clone(),
         slots: upstream.slots,
-        state: match active.iter().any(|drain| drain.target.holds(upstream)) {
+        state: match active.iter().any(|drain| drain.target.contains(upstream)) {
             true => discovery::State::Draining,
             false => discovery::State::Ready,
         },
--- a/crates/steer/src/ownership/router/planning.rs
+++ b/crates/steer/src/ownership/router/planning.rs
@@ -142,7 +142,7 @@
     let drains: Vec<&drain::Drain> =
         view.snapshot.drains.values().map(|d| &*d.spec).filter(|d| soon(d)).collect();
     let in_region = service.upstreams.iter().filter(|u| u.region == *region);
-    let undrained = in_region.filter(|u| !drains.iter().any(|d| d.target.holds(u)));
+    let undrained = in_region.filter(|u| !drains.iter().any(|d| d.target.contains(u)));
     undrained.map(|u| f64::from(u.slots)).sum()
 }
 
