--- a/crates/model/src/drain.rs
+++ b/crates/model/src/drain.rs
@@ -29,12 +29,12 @@
     /// Returns whether the drain is active at `wall` and `upstream` is part of its target.
     #[must_use]
     pub fn covers(&self, upstream: &upstream::Upstream, wall: SystemTime) -> bool {
-        self.is_on(wall) && self.target.contains(upstream)
+        self.is_active(wall) && self.target.contains(upstream)
     }
 
     /// Returns whether the drain is active at `wall`; the end is exclusive.
     #[must_use]
-    pub fn is_on(&self, wall: SystemTime) -> bool {
+    pub fn is_active(&self, wall: SystemTime) -> bool {
         self.start <= wall && wall < self.end
     }
 
--- a/crates/node/src/gateway/declarations.rs
+++ b/crates/node/src/gateway/declarations.rs
@@ -101,7 +101,7 @@
 fn put_in_force(state: &state::State, snapshot: &snapshot::Snapshot) {
     let wall = SystemTime::now();
     let active: Vec<&drain::Drain> =
-        snapshot.drains.values().map(|d| &*d.spec).filter(|d| d.is_on(wall)).collect();
+        snapshot.drains.values().map(|d| &*d.spec).filter(|d| d.is_active(wall)).collect();
     let halls = snapshot.evacuations.values().map(|e| e.spec.hall.clone()).collect();
     state.adopt(update::Update {
         source: update::Source::Declarations,
