--- a/crates/cli/src/declarations.rs
+++ b/crates/cli/src/declarations.rs
@@ -36,7 +36,7 @@
                 let (kind, called) = (resource.kind(), resource.name());
                 let message = format!("{kind} {called} is declared in {other} too");
                 let field = String::new();
-                return Err(document::Fault { file: name, line: None, field, message }.into());
+                return Err(document::Error { file: name, line: None, field, message }.into());
             }
             all.push(resource);
         }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -34,7 +34,7 @@
     /// Returns the code of an error.
     #[must_use]
     pub fn of(error: &anyhow::Error) -> Self {
-        match error.downcast_ref::<model::document::Fault>() {
+        match error.downcast_ref::<model::document::Error>() {
             Some(_) => Self::Wrong,
             None => Self::Failed,
         }
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -10,7 +10,7 @@
 
 /// An error in a YAML text of declarations or settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct Error {
     /// File name, or another description of the source of the text.
     pub file: String,
     /// Line number, counted from 1; `None` if unknown.
@@ -21,7 +21,7 @@
     pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.file)?;
         match self.line {
@@ -35,21 +35,21 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for Error {}
 
 /// Deserializes a value from `text`; an error names `file`, the line and the field.
 ///
 /// # Errors
 ///
 /// Returns an error if the text is not YAML or a field is unknown, missing or malformed.
-pub fn read<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, Fault> {
+pub fn read<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, Error> {
     let deserializer = serde_yaml_ng::Deserializer::from_str(text);
     serde_path_to_error::deserialize(deserializer).map_err(|error| {
         let field = error.path().to_string();
         let inner = error.into_inner();
         let line = line_of(text, &field).or_else(|| inner.location().map(|l| l.line()));
         let message = strip_location(&inner.to_string(), &field);
-        Fault { file: file.to_owned(), line, field, message }
+        Error { file: file.to_owned(), line, field, message }
     })
 }
 
@@ -58,13 +58,13 @@
 /// # Errors
 ///
 /// Returns the error of the first document that is not a valid declaration.
-pub fn read_resources(file: &str, text: &str) -> Result<Vec<resource::Resource>, Fault> {
+pub fn read_resources(file: &str, text: &str) -> Result<Vec<resource::Resource>, Error> {
     split(text)
         .into_iter()
         .map(|(offset, document)| {
-            read_resource(file, &document).map_err(|mut fault| {
-                fault.line = fault.line.map(|line| line + offset);
-                fault
+            read_resource(file, &document).map_err(|mut error| {
+                error.line = error.line.map(|line| line + offset);
+                error
             })
         })
         .collect()
@@ -79,7 +79,7 @@
     file: &str,
     kind: resource::Kind,
     text: &str,
-) -> Result<resource::Resource, Fault> {
+) -> Result<resource::Resource, Error> {
     let text = without_kind(text);
     match kind {
         resource::Kind::Service => read(file, &text).map(resource::Resource::Service),
@@ -92,8 +92,8 @@
     }
 }
 
-fn read_resource(file: &str, text: &str) -> Result<resource::Resource, Fault> {
-    let fault = |message: String| Fault {
+fn read_resource(file: &str, text: &str) -> Result<resource::Resource, Error> {
+    let error = |message: String| Error {
         file: file.to_owned(),
         line: Some(1),
         field: "kind".to_owned(),
@@ -101,10 +101,10 @@
     };
     let value: serde_yaml_ng::Value = read(file, text)?;
     let name = value.get("kind").and_then(serde_yaml_ng::Value::as_str);
-    let name = name.ok_or_else(|| fault("missing field `kind`".to_owned()))?;
+    let name = name.ok_or_else(|| error("missing field `kind`".to_owned()))?;
     let kind = resource::Kind::parse(name).ok_or_else(|| {
         let names = resource::Kind::ALL.map(resource::Kind::as_str).join(", ");
-        fault(format!("`{name}` is none of {names}"))
+        error(format!("`{name}` is none of {names}"))
     })?;
     read_kind(file, kind, text)
 }
--- a/crates/node/src/common/settings.rs
+++ b/crates/node/src/common/settings.rs
@@ -16,7 +16,7 @@
 /// Fails with the file, the line and the field at fault.
 pub fn read<T: DeserializeOwned>(
     file: &path::Path,
-    check: impl FnOnce(&T, &str) -> Result<(), document::Fault>,
+    check: impl FnOnce(&T, &str) -> Result<(), document::Error>,
 ) -> anyhow::Result<T> {
     let name = file.display().to_string();
     let settings = document::read(&name, &text(file)?)?;
@@ -36,8 +36,8 @@
 
 /// Returns the fault of a field that breaks a rule.
 #[must_use]
-pub fn fault(file: &str, field: &str, message: impl Into<String>) -> document::Fault {
-    document::Fault {
+pub fn fault(file: &str, field: &str, message: impl Into<String>) -> document::Error {
+    document::Error {
         file: file.to_owned(),
         line: None,
         field: field.to_owned(),
--- a/crates/node/src/gateway/settings.rs
+++ b/crates/node/src/gateway/settings.rs
@@ -210,14 +210,14 @@
     /// # Errors
     ///
     /// Fails at the first field that breaks a rule.
-    pub fn check(&self, file: &str) -> Result<(), document::Fault> {
+    pub fn check(&self, file: &str) -> Result<(), document::Error> {
         self.check_source(file)?;
         self.check_place(file)?;
         check_processor(self.processor, file)?;
         check_bounds(&self.bounds(), file)
     }
 
-    fn check_source(&self, file: &str) -> Result<(), document::Fault> {
+    fn check_source(&self, file: &str) -> Result<(), document::Error> {
         match self.store.is_some() == self.declarations.is_some() {
             true => {
                 Err(settings::fault(file, "store", "expected either `store` or `declarations`"))
@@ -226,7 +226,7 @@
         }
     }
 
-    fn check_place(&self, file: &str) -> Result<(), document::Fault> {
+    fn check_place(&self, file: &str) -> Result<(), document::Error> {
         match self.halls.get(&self.hall) {
             Some(region) if *region == self.region => Ok(()),
             Some(region) => {
@@ -241,7 +241,7 @@
     }
 }
 
-fn check_processor(processor: Processor, file: &str) -> Result<(), document::Fault> {
+fn check_processor(processor: Processor, file: &str) -> Result<(), document::Error> {
     let fields =
         [("processor.cores", processor.cores, f64::MAX), ("processor.share", processor.share, 1.0)];
     for (field, value, most) in fields {
@@ -252,7 +252,7 @@
     Ok(())
 }
 
-fn check_bounds(bounds: &bounds::Bounds, file: &str) -> Result<(), document::Fault> {
+fn check_bounds(bounds: &bounds::Bounds, file: &str) -> Result<(), document::Error> {
     let times = [
         ("bounds.grace", bounds.grace),
         ("bounds.lookup_cache", bounds.lookup_cache),
--- a/crates/node/src/owner/operators/api.rs
+++ b/crates/node/src/owner/operators/api.rs
@@ -243,7 +243,7 @@
         .map_err(|_| Problem::new(StatusCode::BAD_REQUEST, "the body is not UTF-8"))
 }
 
-fn bad_document(fault: document::Fault) -> Problem {
+fn bad_document(fault: document::Error) -> Problem {
     Problem::new(StatusCode::BAD_REQUEST, fault.to_string())
 }
 
--- a/crates/node/src/owner/settings.rs
+++ b/crates/node/src/owner/settings.rs
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// Fails at the first field that breaks a rule.
-    pub fn check(&self, file: &str) -> Result<(), document::Fault> {
+    pub fn check(&self, file: &str) -> Result<(), document::Error> {
         let fault = |field: &str, message: &str| settings::fault(file, field, message);
         let name_rule = "expected 1 to 63 letters, digits, `-`, `_` or `.`";
         let names = [
