--- a/crates/model/src/table.rs
+++ b/crates/model/src/table.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of earlier epochs in a table, which bounds its size in the store. A join that
 /// would exceed it is delayed.
-pub const MOST_PAST: usize = 24;
+pub const MAX_PAST_EPOCHS: usize = 24;
 
 /// The membership of a region in the current and earlier epochs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,12 +23,12 @@
     /// Nodes that left but may still use shares of an earlier epoch.
     pub departed: Vec<member::Departed>,
     /// Earlier epochs that some node may still use, oldest first.
-    pub past: Vec<Past>,
+    pub past: Vec<PastEpoch>,
 }
 
 /// The nodes of an earlier epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
+pub struct PastEpoch {
     /// Number of the epoch.
     pub epoch: epoch::Epoch,
     /// Nodes of the epoch.
@@ -78,7 +78,7 @@
         next.epoch = epoch;
         if !self.listed.is_empty() {
             let keys = self.listed.iter().map(|s| s.key.clone()).collect();
-            next.past.push(Past { epoch: self.epoch, keys });
+            next.past.push(PastEpoch { epoch: self.epoch, keys });
         }
         for listed in self.listed.iter().filter(|s| leaves.contains(&s.key)) {
             next.departed.push(member::Departed {
--- a/crates/node/tests/forms/stored.rs
+++ b/crates/node/tests/forms/stored.rs
@@ -35,7 +35,7 @@
             settled: epoch::Epoch(10),
             last: epoch::Epoch(11),
         }],
-        past: vec![table::Past {
+        past: vec![table::PastEpoch {
             epoch: epoch::Epoch(11),
             keys: vec![key("dakar-0", 1), key("dakar-1", 2)],
         }],
--- a/crates/steer/src/ownership/maintenance.rs
+++ b/crates/steer/src/ownership/maintenance.rs
@@ -69,7 +69,7 @@
         }
         self.proposed = Some(view.now);
         let known = with_settled(view);
-        let joins = match known.past.len() < table::MOST_PAST {
+        let joins = match known.past.len() < table::MAX_PAST_EPOCHS {
             true => joins,
             false => Vec::new(),
         };
