--- a/crates/model/src/table.rs
+++ b/crates/model/src/table.rs
@@ -56,7 +56,7 @@
 
     /// Returns the lowest epoch that some node may still use.
     #[must_use]
-    pub fn lowest(&self) -> epoch::Epoch {
+    pub fn lowest_epoch_in_use(&self) -> epoch::Epoch {
         let listed = self.listed.iter().map(|s| s.settled);
         let departed = self.departed.iter().map(|d| d.settled);
         listed.chain(departed).min().unwrap_or(self.epoch).min(self.epoch)
@@ -108,7 +108,7 @@
 
     /// Removes the earlier epochs that no node may use any more.
     fn prune_past(&mut self) {
-        let lowest = self.lowest();
+        let lowest = self.lowest_epoch_in_use();
         self.past.retain(|p| p.epoch >= lowest);
     }
 }
--- a/crates/steer/src/ownership/maintenance.rs
+++ b/crates/steer/src/ownership/maintenance.rs
@@ -150,7 +150,7 @@
 }
 
 fn can_forget(view: &View<'_>) -> bool {
-    with_settled(view).lowest() > view.table.lowest()
+    with_settled(view).lowest_epoch_in_use() > view.table.lowest_epoch_in_use()
 }
 
 /// Returns how many live nodes of the region stand before this one by name.
