--- a/crates/model/src/head.rs
+++ b/crates/model/src/head.rs
@@ -23,7 +23,7 @@
 
 /// The decoded head of an upstream's response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Answer<'a> {
+pub struct Response<'a> {
     /// HTTP status code.
     pub status: u16,
     /// Id of the request that the upstream says it responds to.
--- a/crates/node/src/gateway/dialect.rs
+++ b/crates/node/src/gateway/dialect.rs
@@ -103,7 +103,7 @@
         headers: &'a HeaderMap,
         status: StatusCode,
         rules: Option<&routing::ServiceRules>,
-    ) -> head::Answer<'a> {
+    ) -> head::Response<'a> {
         match self {
             Self::Platform => platform::answer::read(headers, status),
             Self::Own => own_headers::answer(headers, status, rules),
--- a/crates/node/src/gateway/own_headers.rs
+++ b/crates/node/src/gateway/own_headers.rs
@@ -94,9 +94,9 @@
     headers: &'a HeaderMap,
     status: StatusCode,
     rules: Option<&routing::ServiceRules>,
-) -> head::Answer<'a> {
+) -> head::Response<'a> {
     let states_not_run = rules.is_some_and(|rules| rules.shed.contains(&status.as_u16()));
-    head::Answer {
+    head::Response {
         status: status.as_u16(),
         request_id: field::text(headers, &names::REQUEST_ID),
         is_sealed: false,
--- a/crates/steer/src/dispatch/execution.rs
+++ b/crates/steer/src/dispatch/execution.rs
@@ -1,7 +1,7 @@
 //! Execution: whether an upstream ran a request, by the head of its answer.
 //!
 //! Owns what proves that a request has not run, on which every retry and every promise to a caller
-//! rests. Relies on [`head::Answer`], which each set of header names is decoded into. Called by the
+//! rests. Relies on [`head::Response`], which each set of header names is decoded into. Called by the
 //! gateway's proxy for each answer, before anything of it is passed on.
 
 use model::head;
@@ -63,7 +63,7 @@
 ///
 /// A success has run whatever else the answer states.
 #[must_use]
-pub fn execution(answer: &head::Answer<'_>) -> Execution {
+pub fn execution(answer: &head::Response<'_>) -> Execution {
     match answer.status {
         MISDIRECTED => Execution::Replaced,
         status if SUCCESS.contains(&status) => Execution::Ran,
@@ -78,7 +78,7 @@
 /// Such an answer says nothing about the request, which may have run.
 #[must_use]
 pub fn fault(
-    answer: &head::Answer<'_>,
+    answer: &head::Response<'_>,
     requirements: Requirements,
     request_id: &str,
 ) -> Option<Fault> {
--- a/crates/steer/tests/execution.rs
+++ b/crates/steer/tests/execution.rs
@@ -7,9 +7,9 @@
 const STRICT: Requirements = Requirements { request_id: true, seal: true };
 const LAX: Requirements = Requirements { request_id: false, seal: false };
 
-fn answer(status: u16) -> head::Answer<'static> {
+fn answer(status: u16) -> head::Response<'static> {
     let request_id = Some("id");
-    head::Answer {
+    head::Response {
         status,
         request_id,
         is_sealed: true,
@@ -21,10 +21,10 @@
 #[test]
 fn a_statement_counts_with_any_refusal_but_not_with_a_success() {
     for status in [400, 404, 408, 429, 500, 502, 503] {
-        let stated = head::Answer { states_not_run: true, ..answer(status) };
+        let stated = head::Response { states_not_run: true, ..answer(status) };
         assert_eq!(execution(&stated), Execution::NotRun, "{status}");
     }
-    let stated = head::Answer { states_not_run: true, ..answer(204) };
+    let stated = head::Response { states_not_run: true, ..answer(204) };
     assert_eq!(execution(&stated), Execution::Ran);
 }
 
@@ -41,22 +41,22 @@
 
 #[test]
 fn an_answer_to_another_request_is_a_fault_before_its_seal_is() {
-    let other = head::Answer { request_id: Some("other"), is_sealed: false, ..answer(200) };
+    let other = head::Response { request_id: Some("other"), is_sealed: false, ..answer(200) };
     assert_eq!(fault(&other, STRICT, "id"), Some(Fault::OtherRequest));
     assert_eq!(fault(&other, LAX, "id"), Some(Fault::OtherRequest));
-    let unsealed = head::Answer { is_sealed: false, ..answer(200) };
+    let unsealed = head::Response { is_sealed: false, ..answer(200) };
     assert_eq!(fault(&unsealed, STRICT, "id"), Some(Fault::NoSeal));
     assert_eq!(fault(&unsealed, LAX, "id"), None);
-    let refusal = head::Answer { is_sealed: false, ..answer(500) };
+    let refusal = head::Response { is_sealed: false, ..answer(500) };
     assert_eq!(fault(&refusal, STRICT, "id"), None);
 }
 
 #[test]
 fn an_answer_without_a_name_suits_a_request_without_one() {
-    let unnamed = head::Answer { request_id: None, ..answer(200) };
+    let unnamed = head::Response { request_id: None, ..answer(200) };
     assert_eq!(fault(&unnamed, STRICT, ""), None);
     assert_eq!(fault(&unnamed, STRICT, "id"), Some(Fault::OtherRequest));
     assert_eq!(fault(&unnamed, LAX, "id"), None);
-    let empty = head::Answer { request_id: Some(""), ..answer(200) };
+    let empty = head::Response { request_id: Some(""), ..answer(200) };
     assert_eq!(fault(&empty, STRICT, ""), None);
 }
