--- a/crates/model/src/verdict.rs
+++ b/crates/model/src/verdict.rs
@@ -150,7 +150,7 @@
     ///
     /// Even if the last attempt did not run, an earlier one may have.
     #[must_use]
-    pub fn after_tries(mut self, earlier: Verdict) -> Self {
+    pub fn with_earlier_verdict(mut self, earlier: Verdict) -> Self {
         if earlier == Verdict::MayHaveRun {
             self.verdict = Verdict::MayHaveRun;
         }
@@ -159,7 +159,7 @@
 
     /// Sets the time after which a retry may succeed.
     #[must_use]
-    pub fn after(mut self, wait: Duration) -> Self {
+    pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
--- a/crates/node/src/owner/callers/entry/mod.rs
+++ b/crates/node/src/owner/callers/entry/mod.rs
@@ -94,7 +94,7 @@
                 Err(failed) => failed,
             };
             order.avoid.extend(failed.upstream);
-            let failure = failed.failure.after_tries(so_far);
+            let failure = failed.failure.with_earlier_verdict(so_far);
             so_far = failure.verdict;
             if !source.is_ready() || order.deadline <= self.handle.now() {
                 return Err(failure);
--- a/crates/node/src/owner/callers/entry/tickets.rs
+++ b/crates/node/src/owner/callers/entry/tickets.rs
@@ -75,7 +75,7 @@
             ticket::Claim::Run => {}
             ticket::Claim::Running => {
                 let failure = verdict::Failure::may_have_run(verdict::Reason::Running);
-                return Err(failure.after(RUNNING_RETRY));
+                return Err(failure.with_retry_after(RUNNING_RETRY));
             }
             ticket::Claim::Done(outcome) => return remembered(outcome),
             ticket::Claim::Unknown => {
@@ -83,7 +83,7 @@
             }
             ticket::Claim::Full => {
                 let failure = verdict::Failure::not_run(verdict::Reason::Full);
-                return Err(failure.after(RUNNING_RETRY));
+                return Err(failure.with_retry_after(RUNNING_RETRY));
             }
         }
         let entry = self.clone();
--- a/crates/node/src/owner/callers/server.rs
+++ b/crates/node/src/owner/callers/server.rs
@@ -238,7 +238,7 @@
 ) -> Result<sync::Arc<service::Service>, verdict::Failure> {
     if !view.is_ready {
         let failure = verdict::Failure::not_run(verdict::Reason::NotReady);
-        return Err(failure.after(NOT_READY_RETRY));
+        return Err(failure.with_retry_after(NOT_READY_RETRY));
     }
     // Serving callers without a look at their keys would let anybody in.
     if !view.config.snapshot.organisations.is_empty() {
--- a/crates/node/src/owner/handle/mod.rs
+++ b/crates/node/src/owner/handle/mod.rs
@@ -228,7 +228,7 @@
 }
 
 fn busy() -> message::Answer {
-    let failure = verdict::Failure::not_run(verdict::Reason::Full).after(BUSY_RETRY);
+    let failure = verdict::Failure::not_run(verdict::Reason::Full).with_retry_after(BUSY_RETRY);
     message::Answer {
         decision: message::Decision::Refuse(failure),
         usage: heartbeat::Usage::default(),
--- a/crates/node/tests/forms/headers.rs
+++ b/crates/node/tests/forms/headers.rs
@@ -215,7 +215,7 @@
         assert_eq!(Reason::parse(reason.as_str()), reason);
         let not_run = verdict::Failure::not_run(reason);
         let may_have_run =
-            verdict::Failure::may_have_run(reason).after(Duration::from_millis(1_001));
+            verdict::Failure::may_have_run(reason).with_retry_after(Duration::from_millis(1_001));
         for failure in [not_run, may_have_run] {
             let answer = shown(respond::failure(failure)).await;
             let _ = write!(written, "{} {}\n{answer}", failure.verdict.as_str(), reason.as_str());
--- a/crates/steer/src/ownership/core/mod.rs
+++ b/crates/steer/src/ownership/core/mod.rs
@@ -208,7 +208,7 @@
             true => self.with_router(now, |router, view| router.route(ask, view, out)),
             false => {
                 let failure = verdict::Failure::not_run(verdict::Reason::NotReady);
-                let failure = failure.after(DISCOVERY_TIME);
+                let failure = failure.with_retry_after(DISCOVERY_TIME);
                 out.push(action::Action::Refuse { request: ask.request, failure });
             }
         }
--- a/crates/steer/src/ownership/owner/queueing.rs
+++ b/crates/steer/src/ownership/owner/queueing.rs
@@ -36,7 +36,7 @@
         let until = offer.deadline.min(now + served.spec.hold);
         let most = usize::try_from(capacity).unwrap_or(usize::MAX).saturating_mul(QUEUE_PER_SLOT);
         if now + wait > until || served.queue.len() >= most {
-            let failure = verdict::Failure::not_run(verdict::Reason::Full).after(wait);
+            let failure = verdict::Failure::not_run(verdict::Reason::Full).with_retry_after(wait);
             return refuse(offer.id, failure, out);
         }
         served.queue.push(queue::Waiting { offer, until });
@@ -84,7 +84,7 @@
                 true => verdict::Reason::Deadline,
                 false => reason,
             };
-            let failure = verdict::Failure::not_run(reason).after(served.spec.hold);
+            let failure = verdict::Failure::not_run(reason).with_retry_after(served.spec.hold);
             refuse(waiting.offer.id, failure, out);
         }
     }
--- a/crates/steer/src/ownership/router/mod.rs
+++ b/crates/steer/src/ownership/router/mod.rs
@@ -187,7 +187,7 @@
     ) {
         let Some(mut routed) = self.take(request) else { return };
         let last = failure;
-        let failure = last.after_tries(routed.so_far);
+        let failure = last.with_earlier_verdict(routed.so_far);
         routed.so_far = failure.verdict;
         routed.busy += usize::from(failure.reason == verdict::Reason::Busy);
         let tries = u32::try_from(routed.tried.len() - routed.busy).unwrap_or(u32::MAX);
@@ -212,8 +212,9 @@
         out: &mut Vec<action::Action>,
     ) {
         let Some(choice) = self.choose(&routed, view) else {
-            let failure = verdict::Failure::not_run(verdict::Reason::NoRegion).after(RETRY_AFTER);
-            let failure = failure.after_tries(routed.so_far);
+            let failure =
+                verdict::Failure::not_run(verdict::Reason::NoRegion).with_retry_after(RETRY_AFTER);
+            let failure = failure.with_earlier_verdict(routed.so_far);
             return out.push(action::Action::Refuse { request, failure });
         };
         let selection::Choice { region, owner, may_wait } = choice;
--- a/crates/steer/tests/verdicts.rs
+++ b/crates/steer/tests/verdicts.rs
@@ -8,8 +8,8 @@
 #[test]
 fn a_refusal_after_a_try_that_may_have_run_is_not_called_not_run() {
     let refused = Failure::not_run(Reason::Full);
-    assert_eq!(refused.after_tries(Verdict::MayHaveRun).verdict, Verdict::MayHaveRun);
-    assert_eq!(refused.after_tries(Verdict::NotRun).verdict, Verdict::NotRun);
+    assert_eq!(refused.with_earlier_verdict(Verdict::MayHaveRun).verdict, Verdict::MayHaveRun);
+    assert_eq!(refused.with_earlier_verdict(Verdict::NotRun).verdict, Verdict::NotRun);
 }
 
 #[test]
