--- a/crates/model/src/fraction.rs
+++ b/crates/model/src/fraction.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// Number of parts in a whole.
-pub const WHOLE: u32 = 1_000_000;
+pub const PARTS_PER_WHOLE: u32 = 1_000_000;
 
 /// Number of parts in one per cent.
-const PARTS_PER_PERCENT: u32 = WHOLE / 100;
+const PARTS_PER_PERCENT: u32 = PARTS_PER_WHOLE / 100;
 
 /// A fraction in millionths; declarations write it in per cent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -17,7 +17,7 @@
 
 impl Fraction {
     /// One whole, 100 per cent.
-    pub const ONE: Self = Self(WHOLE);
+    pub const ONE: Self = Self(PARTS_PER_WHOLE);
 
     /// Creates a fraction from an integer percentage.
     #[must_use]
@@ -28,14 +28,14 @@
     /// Returns the fraction as a number between 0 and 1.
     #[must_use]
     pub fn as_f64(self) -> f64 {
-        f64::from(self.0) / f64::from(WHOLE)
+        f64::from(self.0) / f64::from(PARTS_PER_WHOLE)
     }
 
     /// Returns `part / whole`, rounded down and at most one; zero if both are zero.
     #[must_use]
     pub fn of(part: u32, whole: u32) -> Self {
-        let exact = u64::from(part) * u64::from(WHOLE) / u64::from(whole.max(1));
-        Self(u32::try_from(exact).unwrap_or(WHOLE).min(WHOLE))
+        let exact = u64::from(part) * u64::from(PARTS_PER_WHOLE) / u64::from(whole.max(1));
+        Self(u32::try_from(exact).unwrap_or(PARTS_PER_WHOLE).min(PARTS_PER_WHOLE))
     }
 }
 
--- a/crates/steer/src/common/split.rs
+++ b/crates/steer/src/common/split.rs
@@ -105,7 +105,7 @@
         let total: u32 = parts.values().sum();
         let greatest = parts.iter().max_by_key(|(_, part)| **part).map(|(r, _)| r.clone());
         if let Some(part) = greatest.and_then(|region| parts.get_mut(&region)) {
-            *part = (*part + fraction::WHOLE).saturating_sub(total);
+            *part = (*part + fraction::PARTS_PER_WHOLE).saturating_sub(total);
         }
         Self { parts }
     }
@@ -117,7 +117,7 @@
     reason = "a proportion from 0 to 1 times a million"
 )]
 fn scale(proportion: f64) -> u32 {
-    (proportion * f64::from(fraction::WHOLE)).floor() as u32
+    (proportion * f64::from(fraction::PARTS_PER_WHOLE)).floor() as u32
 }
 
 fn scale_down(part: u32, step: fraction::Fraction, whole: fraction::Fraction) -> u32 {
--- a/crates/steer/src/dispatch/dispatcher/choice.rs
+++ b/crates/steer/src/dispatch/dispatcher/choice.rs
@@ -148,7 +148,8 @@
         let is_far = self.distances.get(&scope.service).is_some_and(|d| d.is_far(own));
         match (is_far, self.regions.get(scope)) {
             (true, Some(rotation)) => {
-                let kept = f64::from(rotation.split().share(own)) / f64::from(fraction::WHOLE);
+                let kept =
+                    f64::from(rotation.split().share(own)) / f64::from(fraction::PARTS_PER_WHOLE);
                 distance::keep(own, &balanced, kept, self.used(&scope.service, own, now))
             }
             _ => balanced,
--- a/crates/steer/src/dispatch/region/distance.rs
+++ b/crates/steer/src/dispatch/region/distance.rs
@@ -78,7 +78,7 @@
 /// `kept` is the share that it keeps now, and `used` its requests a slot.
 #[must_use]
 pub fn keep(own: &id::Region, target: &split::Split, kept: f64, used: f64) -> split::Split {
-    let whole = f64::from(fraction::WHOLE);
+    let whole = f64::from(fraction::PARTS_PER_WHOLE);
     let balanced = f64::from(target.share(own)) / whole;
     let factor = (FILLED / used.max(f64::EPSILON)).clamp(1.0 / MAX_FACTOR, MAX_FACTOR);
     let wanted = (kept * factor).clamp(balanced, 1.0);
--- a/crates/steer/src/ownership/round_robin.rs
+++ b/crates/steer/src/ownership/round_robin.rs
@@ -30,7 +30,7 @@
         let (region, _) = allowed.max_by(|a, b| a.1.cmp(b.1).then_with(|| b.0.cmp(a.0)))?;
         let region = region.clone();
         if let Some(credit) = self.credits.get_mut(&region) {
-            *credit -= i64::from(fraction::WHOLE);
+            *credit -= i64::from(fraction::PARTS_PER_WHOLE);
         }
         self.credits.retain(|region, _| split.share(region) > 0);
         Some(region)
--- a/crates/steer/tests/caps.rs
+++ b/crates/steer/tests/caps.rs
@@ -28,7 +28,7 @@
     fn holds(weights: Vec<u8>) -> bool {
         let split = split(&weights);
         let total: u32 = split.parts().map(|(_, share)| share).sum();
-        total == if split.is_empty() { 0 } else { fraction::WHOLE }
+        total == if split.is_empty() { 0 } else { fraction::PARTS_PER_WHOLE }
     }
     check(holds as fn(Vec<u8>) -> bool);
 }
@@ -46,7 +46,7 @@
             }
         }
         split.parts().all(|(region, share)| {
-            let due = f64::from(turns) * f64::from(share) / f64::from(fraction::WHOLE);
+            let due = f64::from(turns) * f64::from(share) / f64::from(fraction::PARTS_PER_WHOLE);
             (counts.get(region).copied().unwrap_or(0.0) - due).abs() <= 1.0
         })
     }
@@ -108,7 +108,8 @@
     };
     let share = |slots: f64, limit: f64| {
         let plan = planner::plan(&capacities, &[demand(slots, limit)]);
-        f64::from(plan[&id::Place::new("quai")].share(&region("a"))) / f64::from(fraction::WHOLE)
+        f64::from(plan[&id::Place::new("quai")].share(&region("a")))
+            / f64::from(fraction::PARTS_PER_WHOLE)
     };
     assert!((share(50.0, f64::INFINITY) - 1.0).abs() < 1e-5);
     let full = 100.0 * planner::MARGIN;
