--- a/crates/model/src/place.rs
+++ b/crates/model/src/place.rs
@@ -21,7 +21,7 @@
 impl Place {
     /// Returns the links, nearest region first.
     #[must_use]
-    pub fn nearest(&self) -> Vec<&Link> {
+    pub fn links_by_delay(&self) -> Vec<&Link> {
         let mut links: Vec<&Link> = self.links.iter().collect();
         links.sort_by(|a, b| (a.delay, &a.region).cmp(&(b.delay, &b.region)));
         links
--- a/crates/node/src/owner/callers/lookup.rs
+++ b/crates/node/src/owner/callers/lookup.rs
@@ -90,7 +90,7 @@
 #[must_use]
 pub fn nodes(view: &view::View, place: &id::Place, caller: net::IpAddr) -> Vec<Node> {
     let place = view.config.snapshot.places.get(place).map(|p| &p.spec);
-    let linked = place.into_iter().flat_map(|p| p.nearest()).map(|l| &l.region);
+    let linked = place.into_iter().flat_map(|p| p.links_by_delay()).map(|l| &l.region);
     let mut regions: Vec<&id::Region> = linked.collect();
     let others = std::iter::once(&view.region).chain(view.nodes.keys());
     for region in others {
--- a/crates/steer/src/ownership/router/planning.rs
+++ b/crates/steer/src/ownership/router/planning.rs
@@ -160,7 +160,8 @@
         false => latency::assumed_seconds(),
     };
     let demand = |place: &place::Place| {
-        let served = place.nearest().into_iter().filter(|l| owners::serves(service, &l.region));
+        let served =
+            place.links_by_delay().into_iter().filter(|l| owners::serves(service, &l.region));
         let links = served.map(|link| {
             let limit = link.limit.map_or(f64::INFINITY, |limit| f64::from(limit) * seconds);
             (link.region.clone(), limit)
@@ -186,7 +187,7 @@
         return split::Split::default();
     };
     let place = view.snapshot.places.get(place).map(|p| &p.spec);
-    let nearest = place.into_iter().flat_map(|p| p.nearest()).map(|l| &l.region);
+    let nearest = place.into_iter().flat_map(|p| p.links_by_delay()).map(|l| &l.region);
     let any = service.spec.upstreams.iter().map(|u| &u.region);
     let mut preferred = nearest.chain([view.region]).chain(any);
     match preferred.find(|region| owners::serves(&service.spec, region)) {
