--- a/crates/model/src/clock.rs
+++ b/crates/model/src/clock.rs
@@ -10,7 +10,7 @@
 
     /// Returns the wall-clock time, which may jump. Use it only for the dates of drains and for
     /// deadlines on the wire.
-    fn wall(&self) -> SystemTime;
+    fn wall_time(&self) -> SystemTime;
 }
 
 /// The operating system's clock.
@@ -43,7 +43,7 @@
         self.origin + boot_time().saturating_sub(self.origin_boot_time)
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         SystemTime::now()
     }
 }
--- a/crates/node/src/owner/event_loop/mod.rs
+++ b/crates/node/src/owner/event_loop/mod.rs
@@ -107,7 +107,7 @@
 
     fn tick(&mut self, now: Instant) {
         self.ticked = now;
-        self.handle(event::Event::Tick { wall: self.clock.wall() }, now, None);
+        self.handle(event::Event::Tick { wall: self.clock.wall_time() }, now, None);
         self.publish(now);
     }
 
--- a/crates/node/src/owner/node.rs
+++ b/crates/node/src/owner/node.rs
@@ -82,7 +82,7 @@
         let (outgoing, to_send) = mpsc::channel(OUTGOING);
         let (tables, to_write) = mpsc::channel(TABLES);
         let (writes, to_apply) = mpsc::channel(WRITES);
-        let core = core::Core::new(me, settings.seeds.clone(), clock.now(), clock.wall());
+        let core = core::Core::new(me, settings.seeds.clone(), clock.now(), clock.wall_time());
         let outputs = outputs::Outputs { peers: outgoing, tables, view };
         let (handle, thread) = start::start(core, outputs, clock, settings.limits.requests)?;
         let stats = sync::Arc::new(stats::Stats::new());
@@ -160,7 +160,7 @@
     listen: &settings::Listen,
     clock: &dyn clock::Clock,
 ) -> heartbeat::Member {
-    let since = clock.wall().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let since = clock.wall_time().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     // Grows with each start, so that a newer incarnation is known as such.
     let incarnation = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
     heartbeat::Member {
--- a/crates/node/src/owner/runner/mod.rs
+++ b/crates/node/src/owner/runner/mod.rs
@@ -212,7 +212,7 @@
         headers.insert(header::HOST, HeaderValue::from_str(&order.service.host).ok()?);
         let clock = self.handle.clock();
         let left = order.deadline.saturating_duration_since(clock.now());
-        let end = clock.wall() + left;
+        let end = clock.wall_time() + left;
         let since = end.duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let millis = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
         headers.insert(head::DEADLINE, HeaderValue::from(millis));
--- a/crates/node/src/owner/store/follower.rs
+++ b/crates/node/src/owner/store/follower.rs
@@ -176,7 +176,7 @@
         while let Some(write) = writes.recv().await {
             let view = self.handle.view();
             let facts = check::context::Context {
-                wall: self.handle.clock().wall(),
+                wall: self.handle.clock().wall_time(),
                 in_use: view.in_use.clone(),
             };
             let (outcome, snapshot) = accept::apply(&*self.store, &write.change, &facts).await;
--- a/crates/node/tests/deliveries.rs
+++ b/crates/node/tests/deliveries.rs
@@ -50,7 +50,7 @@
     let (view, views) = watch::channel(sync::Arc::new(first));
     let (peers, _sent) = mpsc::channel(1);
     let (tables, _written) = mpsc::channel(1);
-    let core = core::Core::new(me, Vec::new(), clock.now(), clock.wall());
+    let core = core::Core::new(me, Vec::new(), clock.now(), clock.wall_time());
     let outputs = outputs::Outputs { peers, tables, view };
     let (handle, mut thread) = start::start(core, outputs, clock, 1).expect("the thread starts");
     let still = handle.clone();
