--- a/crates/steer/src/dispatch/dispatcher/choice.rs
+++ b/crates/steer/src/dispatch/dispatcher/choice.rs
@@ -154,7 +154,8 @@
         let is_far = self.distances.get(&scope.service).is_some_and(|d| d.is_far(own));
         match (is_far, self.regions.get(scope)) {
             (true, Some(rotation)) => {
-                let current = f64::from(rotation.split().share(own)) / f64::from(fraction::WHOLE);
+                let current =
+                    f64::from(rotation.split().share(own)) / f64::from(fraction::PARTS_PER_WHOLE);
                 let load = self.requests_per_slot(&scope.service, own, now);
                 distance::raise_own_share(own, &balanced, current, load)
             }
--- a/crates/steer/src/dispatch/dispatcher/statements.rs
+++ b/crates/steer/src/dispatch/dispatcher/statements.rs
@@ -138,7 +138,7 @@
     }
 
     /// Returns the leaving processes for announcing them to other nodes.
-    pub fn leavings_mut(&mut self) -> &mut leaving::Leavings {
+    pub fn leavings_mut(&mut self) -> &mut leaving::LeavingProcesses {
         &mut self.leavings
     }
 
--- a/crates/steer/src/dispatch/dispatcher/tries.rs
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -69,7 +69,7 @@
                 let time = seconds::Seconds(latency.as_secs_f64() / crowding.max(1.0));
                 let familiarity = object
                     .map_or(seen_objects::Familiarity::Preferred, |object| object.familiarity);
-                upstream.health.answered(time, work.of(familiarity), in_flight, now);
+                upstream.health.record_answer(time, work.mean_for(familiarity), in_flight, now);
                 let distance = self.distances.entry(upstream.entry.service.clone()).or_default();
                 record_time(work, distance, &upstream.region, familiarity, time);
                 if let Some(object) = object {
@@ -83,7 +83,7 @@
                 upstream.load.record_full(upstream.entry.slots, now);
             }
             outcome::Outcome::Replaced => upstream.is_replaced = true,
-            outcome::Outcome::NotSent => upstream.health.unreachable(now),
+            outcome::Outcome::NotSent => upstream.health.record_unreachable(now),
             // A resting upstream refused the request without proof that it was not executed.
             outcome::Outcome::Broken if upstream.is_resting(now) => {}
             outcome::Outcome::Broken => upstream.health.record_broken(now),
--- a/crates/steer/src/dispatch/execution.rs
+++ b/crates/steer/src/dispatch/execution.rs
@@ -63,7 +63,7 @@
 ///
 /// A success counts as executed even if the response states the contrary.
 #[must_use]
-pub fn execution(answer: &head::Answer<'_>) -> Execution {
+pub fn execution(answer: &head::Response<'_>) -> Execution {
     match answer.status {
         MISDIRECTED => Execution::Replaced,
         status if SUCCESS.contains(&status) => Execution::Ran,
@@ -78,7 +78,7 @@
 /// An invalid response does not show whether the request was executed.
 #[must_use]
 pub fn fault(
-    answer: &head::Answer<'_>,
+    answer: &head::Response<'_>,
     requirements: Requirements,
     request_id: &str,
 ) -> Option<Fault> {
--- a/crates/steer/src/dispatch/quarantine/record.rs
+++ b/crates/steer/src/dispatch/quarantine/record.rs
@@ -65,7 +65,7 @@
     /// Returns whether a request with this head was in flight at a crash.
     #[must_use]
     pub fn contains_head(&self, head: Head) -> bool {
-        self.contents.range(Content::range_of(head)).next().is_some()
+        self.contents.range(Content::range_with_head(head)).next().is_some()
     }
 
     /// Returns the recorded contents.
--- a/crates/steer/src/dispatch/region/distance.rs
+++ b/crates/steer/src/dispatch/region/distance.rs
@@ -89,7 +89,7 @@
     current: f64,
     load: f64,
 ) -> split::Split {
-    let whole = f64::from(fraction::WHOLE);
+    let whole = f64::from(fraction::PARTS_PER_WHOLE);
     let balanced = f64::from(target.share(own)) / whole;
     let factor = (TARGET_REQUESTS_PER_SLOT / load.max(f64::EPSILON))
         .clamp(1.0 / MAX_SHARE_FACTOR, MAX_SHARE_FACTOR);
--- a/crates/steer/src/dispatch/selection.rs
+++ b/crates/steer/src/dispatch/selection.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct Ranking {
     scored: Vec<ScoredUpstream>,
-    work: expected_work::Work,
+    work: expected_processing_time::ProcessingTimes,
     max_wait: seconds::Seconds,
     /// Hash of the request's object; `None` if the request has no object.
     object: Option<u64>,
@@ -62,7 +62,7 @@
     pub fn new<'a>(
         eligible: impl Iterator<Item = &'a upstream::Upstream>,
         request: &request::Request<'_>,
-        work: expected_work::Work,
+        work: expected_processing_time::ProcessingTimes,
         rank: priority::Rank,
         now: Instant,
     ) -> Self {
@@ -93,8 +93,10 @@
             wait: chosen.wait,
             max_wait: self.max_wait,
             work: self.work.mean(),
-            mean_latency: seconds::Seconds(chosen.wait.0 + self.work.of(chosen.familiarity).0),
-            cautious_latency: seconds::Seconds(chosen.wait.0 + self.work.cautious().0),
+            mean_latency: seconds::Seconds(
+                chosen.wait.0 + self.work.mean_for(chosen.familiarity).0,
+            ),
+            cautious_latency: seconds::Seconds(chosen.wait.0 + self.work.conservative().0),
             load_age: chosen.load_age,
             avoided: None,
             skipped: Vec::new(),
@@ -108,7 +110,7 @@
 pub fn best<'a>(
     eligible: impl Iterator<Item = &'a upstream::Upstream>,
     request: &request::Request<'_>,
-    work: expected_work::Work,
+    work: expected_processing_time::ProcessingTimes,
     rank: priority::Rank,
     now: Instant,
 ) -> Option<candidate::Candidate> {
@@ -133,7 +135,7 @@
         _ => affinity_factor,
     };
     let failure_factor = 1.0 + upstream.health.failure_rate(now) * FAILURE_COST_FACTOR;
-    let time = upstream.health.work(work.mean(), now).0 * upstream.crowding(now);
+    let time = upstream.health.processing_time(work.mean(), now).0 * upstream.crowding(now);
     ScoredUpstream {
         entry: sync::Arc::clone(&upstream.entry),
         familiarity,
--- a/crates/steer/src/dispatch/upstream.rs
+++ b/crates/steer/src/dispatch/upstream.rs
@@ -94,6 +94,8 @@
     /// Returns how long one more request would queue, given the service's mean processing time.
     #[must_use]
     pub fn wait(&self, service_mean: seconds::Seconds, now: Instant) -> seconds::Seconds {
-        seconds::Seconds(self.health.work(service_mean, now).0 * (self.crowding(now) - 1.0))
+        seconds::Seconds(
+            self.health.processing_time(service_mean, now).0 * (self.crowding(now) - 1.0),
+        )
     }
 }
--- a/crates/steer/tests/execution.rs
+++ b/crates/steer/tests/execution.rs
@@ -7,9 +7,9 @@
 const ALL_REQUIRED: Requirements = Requirements { request_id: true, seal: true };
 const NONE_REQUIRED: Requirements = Requirements { request_id: false, seal: false };
 
-fn answer(status: u16) -> head::Answer<'static> {
+fn answer(status: u16) -> head::Response<'static> {
     let request_id = Some("id");
-    head::Answer {
+    head::Response {
         status,
         request_id,
         is_sealed: true,
--- a/crates/steer/tests/quarantine/fleet.rs
+++ b/crates/steer/tests/quarantine/fleet.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use model::discovery;
-use model::fingerprint::{Asked, Fingerprint, Sender};
+use model::fingerprint::{CallerIdentity, Fingerprint, RequestContent};
 use rand::{RngExt as _, SeedableRng as _, rngs};
 use steer::dispatch::quarantine::Quarantine;
 use steer::dispatch::quarantine::report::{Report, Source};
@@ -264,7 +264,7 @@
             return;
         }
         let key = match self.nodes[node].is_isolated(&visit.fingerprint) {
-            true => visit.fingerprint.spread(),
+            true => visit.fingerprint.affinity_hash(),
             false => visit.object,
         };
         let mut preferred: Vec<usize> = (0..self.plan.upstreams).collect();
@@ -467,7 +467,7 @@
 
 /// Returns the fingerprint of a request for `path` by a caller.
 pub fn fingerprint(path: &str, caller: u32) -> Fingerprint {
-    let asked = Asked {
+    let asked = RequestContent {
         method: "GET",
         host: "site.example",
         target: path,
@@ -476,5 +476,5 @@
         length: None,
     };
     let address = net::IpAddr::V4(net::Ipv4Addr::from(caller));
-    Fingerprint::of(&asked, &Sender { address, object: None })
+    Fingerprint::of(&asked, &CallerIdentity { address, object: None })
 }
--- a/crates/steer/tests/selection.rs
+++ b/crates/steer/tests/selection.rs
@@ -67,7 +67,7 @@
                 _ => affinity_factor,
             };
             let failure_factor = 1.0 + u.health.failure_rate(now) * FAILURE_COST_FACTOR;
-            let time = u.health.work(work.mean(), now).0 * u.crowding(now);
+            let time = u.health.processing_time(work.mean(), now).0 * u.crowding(now);
             (*u, u.wait(work.mean(), now).0, time * object_factor * failure_factor)
         };
         let scored: Vec<_> = ranked.iter().enumerate().map(score).collect();
