--- a/crates/steer/src/dispatch/execution.rs
+++ b/crates/steer/src/dispatch/execution.rs
@@ -1,7 +1,7 @@
 //! Determines from a response head whether an upstream executed the request.
 //!
 //! Retries and the statements made to callers depend on this. The gateway's proxy calls it for
-//! every response before it forwards any part of it. [`head::Answer`] is the decoded form of each
+//! every response before it forwards any part of it. [`head::Response`] is the decoded form of each
 //! supported set of header names.
 
 use model::head;
--- a/crates/steer/tests/execution.rs
+++ b/crates/steer/tests/execution.rs
@@ -21,10 +21,10 @@
 #[test]
 fn not_run_statement_is_valid_for_any_error_status_but_not_for_a_success() {
     for status in [400, 404, 408, 429, 500, 502, 503] {
-        let with_statement = head::Answer { states_not_run: true, ..answer(status) };
+        let with_statement = head::Response { states_not_run: true, ..answer(status) };
         assert_eq!(execution(&with_statement), Execution::NotRun, "{status}");
     }
-    let with_statement = head::Answer { states_not_run: true, ..answer(204) };
+    let with_statement = head::Response { states_not_run: true, ..answer(204) };
     assert_eq!(execution(&with_statement), Execution::Ran);
 }
 
@@ -41,22 +41,22 @@
 
 #[test]
 fn other_request_id_takes_precedence_over_a_missing_seal() {
-    let other_request = head::Answer { request_id: Some("other"), is_sealed: false, ..answer(200) };
+    let other_request = head::Response { request_id: Some("other"), is_sealed: false, ..answer(200) };
     assert_eq!(fault(&other_request, ALL_REQUIRED, "id"), Some(Fault::OtherRequest));
     assert_eq!(fault(&other_request, NONE_REQUIRED, "id"), Some(Fault::OtherRequest));
-    let unsealed = head::Answer { is_sealed: false, ..answer(200) };
+    let unsealed = head::Response { is_sealed: false, ..answer(200) };
     assert_eq!(fault(&unsealed, ALL_REQUIRED, "id"), Some(Fault::NoSeal));
     assert_eq!(fault(&unsealed, NONE_REQUIRED, "id"), None);
-    let refusal = head::Answer { is_sealed: false, ..answer(500) };
+    let refusal = head::Response { is_sealed: false, ..answer(500) };
     assert_eq!(fault(&refusal, ALL_REQUIRED, "id"), None);
 }
 
 #[test]
 fn response_without_id_is_valid_for_a_request_without_id() {
-    let without_id = head::Answer { request_id: None, ..answer(200) };
+    let without_id = head::Response { request_id: None, ..answer(200) };
     assert_eq!(fault(&without_id, ALL_REQUIRED, ""), None);
     assert_eq!(fault(&without_id, ALL_REQUIRED, "id"), Some(Fault::OtherRequest));
     assert_eq!(fault(&without_id, NONE_REQUIRED, "id"), None);
-    let empty_id = head::Answer { request_id: Some(""), ..answer(200) };
+    let empty_id = head::Response { request_id: Some(""), ..answer(200) };
     assert_eq!(fault(&empty_id, ALL_REQUIRED, ""), None);
 }
