--- a/crates/steer/src/dispatch/quota/mod.rs
+++ b/crates/steer/src/dispatch/quota/mod.rs
@@ -1,6 +1,7 @@
 //! Fleet-wide rate limits of organisations: decides which requests each node admits, so that the fleet stays within the limits.
 //!
-//! The limits that [upstreams announce](crate::dispatch::upstream_limit) are enforced in the same way, with accounts of their own.
+//! The limits that [upstreams announce](crate::dispatch::upstream_limit) are enforced in the same way, with accounts of their
+//! own.
 //!
 //! Nodes share no counter. For each organisation, every node keeps a token [`bucket`] of the whole fleet. Its own requests are
 //! deducted at once, those of other nodes as they are reported with the load reports ([`usage`]); nodes report organisations that
--- a/crates/steer/src/dispatch/quota/reporter.rs
+++ b/crates/steer/src/dispatch/quota/reporter.rs
@@ -1,7 +1,7 @@
 //! Decides which usages to report.
 //!
-//! Keeps the last report of each usage. A usage is reported at once if the receivers' estimate would be wrong, and otherwise a few
-//! times per second, so that the cost of reports does not grow with the organisations that are far below their limits.
+//! Keeps the last report of each usage. A usage is reported at once if the receivers' estimate would be wrong, and otherwise a
+//! few times per second, so that the cost of reports does not grow with the organisations that are far below their limits.
 
 use std::collections;
 use std::time::{Duration, Instant};
--- a/crates/steer/src/dispatch/quota/usage.rs
+++ b/crates/steer/src/dispatch/quota/usage.rs
@@ -17,9 +17,9 @@
 
 /// Largest assumed jitter of reports: a rate that falls no further than it decays in that time does not indicate a restart.
 ///
-/// Without it, each late report of a falling rate counted as a restart and deducted the whole rate again. A deployment of 75 nodes
-/// then refused a third of all requests although they were below the limits, and a test day in which all nodes are killed scored
-/// 0.210 instead of 0.586.
+/// Without it, each late report of a falling rate counted as a restart and deducted the whole rate again. A deployment of 75
+/// nodes then refused a third of all requests although they were below the limits, and a test day in which all nodes are killed
+/// scored 0.210 instead of 0.586.
 const MAX_JITTER: Duration = Duration::from_secs(1);
 
 /// Difference between two rates that may be due to rounding, as reports hold hundredths of a request per second.
