--- a/crates/steer/src/dispatch/dispatcher/choice.rs
+++ b/crates/steer/src/dispatch/dispatcher/choice.rs
@@ -93,7 +93,7 @@
                     let skipped = skipped.upstreams;
                     return Ok(candidate::Candidate { avoided, skipped, ..chosen });
                 }
-                Err(room_after) => skipped.add(&chosen, room_after),
+                Err(retry_after) => skipped.add(&chosen, retry_after),
             }
         }
     }
@@ -110,7 +110,7 @@
             return Err(skipped.refusal());
         }
         let mut others = regions.0.iter_mut();
-        let Some(own) =
+        let Some(best) =
             others.find_map(|region| self.best_in_region(region, request, skipped, now))
         else {
             return Err(match skipped.upstreams.is_empty() {
@@ -120,22 +120,22 @@
         };
         // Requests that exceed the limits of one region must not overflow into the others beyond the
         // operator's shift limit.
-        let first = skipped.first_hall().map(|hall| self.position.region_of(hall));
-        let leaves_region =
-            first.is_some_and(|first| first != self.position.region_of(&own.entry.hall));
+        let skipped_region = skipped.first_hall().map(|hall| self.position.region_of(hall));
+        let leaves_region = skipped_region
+            .is_some_and(|region| region != self.position.region_of(&best.entry.hall));
         if leaves_region && !self.overflow.try_take() {
             return Err(skipped.refusal());
         }
-        // Ranking another region costs as much as ranking the local one, so it is only done if the
-        // local region is congested.
+        // Ranking another region costs as much as ranking the first one, so it is only done if the
+        // first one is congested.
         let others: Vec<candidate::Candidate> =
-            match overflow::is_congested(&own, request.route.target_latency) {
+            match overflow::is_congested(&best, request.route.target_latency) {
                 true => {
                     others.filter_map(|r| self.best_in_region(r, request, skipped, now)).collect()
                 }
                 false => Vec::new(),
             };
-        let chosen = self.overflow.choose(&own, &others).unwrap_or(&own);
+        let chosen = self.overflow.choose(&best, &others).unwrap_or(&best);
         admission::check(chosen, request)?;
         Ok(chosen.clone())
     }
--- a/crates/steer/src/dispatch/overflow.rs
+++ b/crates/steer/src/dispatch/overflow.rs
@@ -30,11 +30,11 @@
 /// "overflow by the time until the answer".
 const MIN_SAVED_SECONDS: f64 = 0.1;
 
-/// Returns whether a region with the best candidate `own` is congested for a route with this target
+/// Returns whether a region whose best candidate is `best` is congested for a route with this target
 /// latency.
 #[must_use]
-pub fn is_congested(own: &candidate::Candidate, target_latency: Duration) -> bool {
-    own.wait.0 > target_latency.as_secs_f64() * CONGESTED_WAIT_FRACTION
+pub fn is_congested(best: &candidate::Candidate, target_latency: Duration) -> bool {
+    best.wait.0 > target_latency.as_secs_f64() * CONGESTED_WAIT_FRACTION
 }
 
 /// Token bucket of requests that may leave their region.
@@ -49,19 +49,19 @@
         self.tokens = (self.tokens + greatest_shift * SHARE_OF_SHIFT_LIMIT).min(MAX_BURST_REQUESTS);
     }
 
-    /// Returns the candidate to use instead of `own` of a congested region, and takes a token for it.
+    /// Returns the candidate to use instead of `current` of a congested region, and takes a token for it.
     ///
     /// Returns `None` if the request stays in its region.
     pub fn choose<'a>(
         &mut self,
-        own: &candidate::Candidate,
+        current: &candidate::Candidate,
         others: &'a [candidate::Candidate],
     ) -> Option<&'a candidate::Candidate> {
         let by_latency = |a: &&candidate::Candidate, b: &&candidate::Candidate| {
             a.mean_latency.partial_cmp(&b.mean_latency).unwrap_or(cmp::Ordering::Equal)
         };
         let best = others.iter().min_by(by_latency)?;
-        let saves_enough = best.mean_latency.0 + MIN_SAVED_SECONDS < own.mean_latency.0;
+        let saves_enough = best.mean_latency.0 + MIN_SAVED_SECONDS < current.mean_latency.0;
         (saves_enough && self.try_take()).then_some(best)
     }
 
--- a/crates/steer/tests/load/replays.rs
+++ b/crates/steer/tests/load/replays.rs
@@ -47,7 +47,8 @@
     SEEDS.map(share).iter().sum::<f64>() / SEEDS.len() as f64
 }
 
-/// Two routes of one service, with `urgent` and `patient` requests per second in each of three regions.
+/// Two routes of one service, with `urgent` requests per second on the urgent route and `patient` on the
+/// less urgent one, in each of three regions.
 fn two_routes(urgent: f64, patient: f64) -> Plan {
     let loads = vec![load("urgent", 0, 250 * MS, urgent), load("patient", 2, 250 * MS, patient)];
     plan(vec![region("a", 3), region("b", 3), region("c", 3)], 5, loads)
