--- a/crates/steer/src/common/round_robin.rs
+++ b/crates/steer/src/common/round_robin.rs
@@ -1,4 +1,4 @@
-//! Smooth weighted round robin: selects each choice in proportion to its weight, within one
+//! Smooth weighted round robin: selects each choice in proportion to its weight, exact to within one
 //! request.
 //!
 //! The credit of a choice is the number of turns due by its weight, minus the number of turns
--- a/crates/steer/src/dispatch/leaving.rs
+++ b/crates/steer/src/dispatch/leaving.rs
@@ -99,7 +99,8 @@
         self.announcer.take_due(own, now)
     }
 
-    /// Returns the announcements of the `includes` nodes that `announcer` still has to forward.
+    /// Returns the announcements that `announcer` still has to forward for the nodes that `includes`
+    /// selects.
     pub fn report_sum(
         &self,
         includes: impl Fn(&id::Node) -> bool,
