--- a/crates/steer/tests/execution.rs
+++ b/crates/steer/tests/execution.rs
@@ -41,7 +41,8 @@
 
 #[test]
 fn other_request_id_takes_precedence_over_a_missing_seal() {
-    let other_request = head::Response { request_id: Some("other"), is_sealed: false, ..answer(200) };
+    let other_request =
+        head::Response { request_id: Some("other"), is_sealed: false, ..answer(200) };
     assert_eq!(fault(&other_request, ALL_REQUIRED, "id"), Some(Fault::OtherRequest));
     assert_eq!(fault(&other_request, NONE_REQUIRED, "id"), Some(Fault::OtherRequest));
     let unsealed = head::Response { is_sealed: false, ..answer(200) };
