--- a/crates/steer/src/dispatch/fleet/store_call.rs
+++ b/crates/steer/src/dispatch/fleet/store_call.rs
@@ -77,8 +77,8 @@
     bound.mul_f64(WATCH_SHARE).max(MIN_WATCH)
 }
 
-/// Returns the maximum duration of the first watch after a change, where `share` is the share of the
-/// usual duration that the watcher uses, from 0 to 1.
+/// Returns the maximum duration of the first watch after a change, where `share` is the share of
+/// the usual duration that the watcher uses, from 0 to 1.
 #[must_use]
 pub fn watch_after_change(bound: Duration, share: f64) -> Duration {
     watch(bound).mul_f64(share)
--- a/crates/steer/src/dispatch/fleet/watchers.rs
+++ b/crates/steer/src/dispatch/fleet/watchers.rs
@@ -45,7 +45,7 @@
 /// changes.
 const MIN_SETTLE: Duration = Duration::from_millis(1_000);
 
-/// Maximum delay, as a share of `Bounds::contact`; leaves time for a call and its answer.
+/// Maximum delay, as a share of [`store_call::bound`]; leaves time for a call and its answer.
 const MAX_SETTLE_SHARE: f64 = 0.6;
 
 /// Maximum random addition to [`MIN_SETTLE`], so that nodes that start at the same time do not
@@ -57,12 +57,12 @@
 ///
 /// Zero without seeds, which means that there are no other nodes.
 #[must_use]
-pub fn settle(contact: Duration, has_seeds: bool, draw: f64) -> Duration {
+pub fn settle(bound: Duration, has_seeds: bool, draw: f64) -> Duration {
     if !has_seeds {
         return Duration::ZERO;
     }
-    // The node must have had an answer from the store once `contact` has passed.
-    let longest = contact.mul_f64(MAX_SETTLE_SHARE);
+    // The node must have had an answer from the store once `Bounds::contact` has passed.
+    let longest = bound.mul_f64(MAX_SETTLE_SHARE);
     (MIN_SETTLE + SETTLE_SPREAD.mul_f64(draw)).min(longest)
 }
 
--- a/crates/steer/src/dispatch/quarantine/mod.rs
+++ b/crates/steer/src/dispatch/quarantine/mod.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A decision of this node.
+/// A change of which requests are held back, decided by this node or applied from a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// The requests that the decision applies to.
--- a/crates/steer/tests/quarantine/rules.rs
+++ b/crates/steer/tests/quarantine/rules.rs
@@ -53,7 +53,7 @@
         self.quarantine.record_crash(sighting, Source::Own, UNIX_MILLIS + millis, now);
     }
 
-    fn judge(&mut self, millis: u64) -> usize {
+    fn evaluate(&mut self, millis: u64) -> usize {
         self.quarantine.evaluate(UNIX_MILLIS + millis, self.at(millis)).len()
     }
 
@@ -73,11 +73,11 @@
     for upstream in 0..2 {
         node.crash(poison(), upstream, 100 + 100 * upstream as u64);
     }
-    assert_eq!(node.judge(1_000), 0);
+    assert_eq!(node.evaluate(1_000), 0);
     assert!(!node.is_held(poison(), 1_000));
     node.crash(poison(), 2, 1_100);
-    assert_eq!(node.judge(1_200), 0, "other nodes may still report requests in flight");
-    assert_eq!(node.judge(1_300), 1);
+    assert_eq!(node.evaluate(1_200), 0, "other nodes may still report requests in flight");
+    assert_eq!(node.evaluate(1_300), 1);
     assert!(node.is_held(poison(), 1_300));
     let hold = node.quarantine.check(&poison(), node.at(2_000)).expect("held");
     assert!(hold.retry_after > Duration::from_secs(60), "it cannot succeed soon");
@@ -98,7 +98,7 @@
             node.crash(poison(), upstream, 100 + 3_000 * round + 200 * upstream as u64);
         }
     }
-    assert_eq!(node.judge(4_000), 1);
+    assert_eq!(node.evaluate(4_000), 1);
 }
 
 #[test]
@@ -110,7 +110,7 @@
     }
     // One more crash after the next send.
     node.crash(poison(), 11, 1_500);
-    assert_eq!(node.judge(2_000), 0);
+    assert_eq!(node.evaluate(2_000), 0);
 }
 
 #[test]
@@ -122,7 +122,7 @@
     let now = node.at(500);
     node.quarantine.record_success(&poison(), Source::Own, UNIX_MILLIS, now);
     node.crash(poison(), 3, 700);
-    assert_eq!(node.judge(1_000), 0);
+    assert_eq!(node.evaluate(1_000), 0);
 }
 
 #[test]
@@ -134,12 +134,12 @@
         node.crash(poison(), upstream, at);
         node.crash(innocent, upstream, at);
     }
-    assert_eq!(node.judge(1_000), 0, "either request may be the cause");
+    assert_eq!(node.evaluate(1_000), 0, "either request may be the cause");
     assert!(node.quarantine.is_isolated(&innocent) && node.quarantine.is_isolated(&poison()));
     node.crash(poison(), 7, 1_100);
-    assert_eq!(node.judge(1_500), 0, "a lead of one crash may be a coincidence");
+    assert_eq!(node.evaluate(1_500), 0, "a lead of one crash may be a coincidence");
     node.crash(poison(), 8, 1_600);
-    assert_eq!(node.judge(2_000), 1);
+    assert_eq!(node.evaluate(2_000), 1);
     assert!(node.is_held(poison(), 2_000) && !node.is_held(innocent, 2_000));
 }
 
@@ -154,7 +154,7 @@
     for (upstream, sent, at) in [(2, 150, 300), (6, 310, 700), (11, 710, 1_200)] {
         node.crash_after(unlucky, upstream, sent, at);
     }
-    assert_eq!(node.judge(3_000), 0);
+    assert_eq!(node.evaluate(3_000), 0);
 }
 
 #[test]
@@ -164,7 +164,7 @@
     for (upstream, request) in callers().enumerate() {
         node.crash(request, upstream, 100 + 200 * upstream as u64);
     }
-    assert_eq!(node.judge(1_000), 1);
+    assert_eq!(node.evaluate(1_000), 1);
     assert!(node.is_held(fingerprint("/deadly", 9), 1_000));
 
     let mut node = Node::new();
@@ -173,7 +173,7 @@
     }
     let now = node.at(600);
     node.quarantine.record_success(&fingerprint("/deadly", 9), Source::Own, UNIX_MILLIS, now);
-    assert_eq!(node.judge(1_000), 0);
+    assert_eq!(node.evaluate(1_000), 0);
 }
 
 #[test]
@@ -182,7 +182,7 @@
     for upstream in 0..3 {
         node.crash(poison(), upstream, 100 + 200 * upstream as u64);
     }
-    assert_eq!(node.judge(1_000), 1);
+    assert_eq!(node.evaluate(1_000), 1);
     let later = 700_000;
     node.quarantine.tick(node.at(later));
     assert!(!node.is_held(poison(), later));
@@ -196,7 +196,7 @@
     for upstream in 0..3 {
         node.crash(poison(), upstream, 100 + 200 * upstream as u64);
     }
-    node.judge(1_000);
+    node.evaluate(1_000);
     let (scope, ruling) = node.quarantine.held(node.at(1_000)).next().expect("held");
     let (scope, ruling) = (*scope, *ruling);
     let now = node.at(2_000);
