--- a/crates/steer/src/dispatch/admission.rs
+++ b/crates/steer/src/dispatch/admission.rs
@@ -15,15 +15,13 @@
 /// Maximum queueing time as a fraction of the route's target latency, for responses that only
 /// queueing would make late.
 ///
-/// See docs/DECISIONS.md, "How long a request may wait" (0.25 to 1.5 and no bound compared), and
-/// docs/measurements/platform.md, row "refused at once where waiting would make late".
+/// The reasons are in docs/DECISIONS.md, "How long a request may wait".
 const MAX_WAIT_FRACTION: f64 = 0.6;
 
 /// Like [`MAX_WAIT_FRACTION`], for the most urgent requests of a service.
 ///
-/// A late response is better than none, and less urgent requests leave capacity free. With a quarter
-/// of the service's capacity missing, refusals drop from 2.7 % to 0 % (`steer/tests/load`); see also
-/// docs/measurements/worst-load.md, row "urgent requests wait longer" (0.6 and 1.2 compared).
+/// A late response is better than none, and less urgent requests leave capacity free. With the lower
+/// limit, urgent requests are refused when part of the service's capacity is missing.
 const MAX_URGENT_WAIT_FRACTION: f64 = 1.2;
 
 /// Longest `Retry-After` for an overloaded service, so that a wrong estimate does not keep callers
--- a/crates/steer/src/dispatch/affinity.rs
+++ b/crates/steer/src/dispatch/affinity.rs
@@ -3,9 +3,10 @@
 //!
 //! Stateless. Rendezvous hashing gives the same ranking on every node without coordination and moves
 //! the fewest objects when a share or an upstream changes. Used by [`order`] and [`selection`];
-//! [`expected_work`] provides the processing times at upstreams that have seen the object.
+//! [`expected_processing_time`] provides the processing times at upstreams that have seen the
+//! object.
 //!
-//! [`expected_work`]: crate::dispatch::expected_work
+//! [`expected_processing_time`]: crate::dispatch::expected_processing_time
 //! [`order`]: crate::dispatch::region::order
 //! [`selection`]: crate::dispatch::selection
 
@@ -23,17 +24,14 @@
 /// and 6, and are 0.03 worse at 1.25.
 const SECOND_COST_FACTOR: f64 = 2.5;
 
-/// Cost of any further upstream, as a multiple of the first one's; compared together with
-/// [`SECOND_COST_FACTOR`].
+/// Cost of any further upstream, as a multiple of the first one's.
 const FURTHER_COST_FACTOR: f64 = 5.0;
 
 /// Cost of another upstream that has seen the object, as a multiple of the first one's.
 ///
 /// Above one, so that objects return to their first upstream instead of filling the caches of others.
 /// Multiplied by the observed slowdown of such requests, so that it has no effect where upstreams
-/// evict objects quickly. Raises the requests in time from 78.8 % to 82 % at upstreams with one slot
-/// (`steer/tests/load`); see also docs/measurements/worst-load.md, row "upstreams that have seen the
-/// object" (1.2, 1.5 and 2 compared).
+/// evict objects quickly.
 const SEEN_COST_FACTOR: f64 = 1.5;
 
 /// Returns the regions with a positive weight in an object's order of preference.
--- a/crates/steer/src/dispatch/candidate.rs
+++ b/crates/steer/src/dispatch/candidate.rs
@@ -36,7 +36,7 @@
     pub cautious_latency: seconds::Seconds,
     /// Age of the upstream's latest load report.
     pub load_age: Duration,
-    /// The object's preferred upstream, if it was passed over because it is leaving or resting.
+    /// The object's preferred upstream, if it was skipped because it is leaving or resting.
     pub avoided: Option<id::Upstream>,
     /// Better upstreams that were skipped because their limits are exhausted.
     pub skipped: Vec<id::Upstream>,
--- a/crates/steer/src/dispatch/eligibility.rs
+++ b/crates/steer/src/dispatch/eligibility.rs
@@ -20,18 +20,18 @@
 /// Reason why an upstream may not take a request, in evaluation order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exclusion {
-    /// Its region is not among the request's home regions.
+    /// The upstream's region is not among the request's home regions.
     Outside,
-    /// It is draining, it announced that it is leaving, its entry has expired, or another upstream
-    /// answers at its address.
+    /// The upstream is draining, it announced that it is leaving, its entry has expired, or another
+    /// upstream answers at its address.
     Leaving,
-    /// Its hall is evacuated.
+    /// The upstream's hall is evacuated.
     Evacuated,
-    /// It asked this node to send no requests for a while.
+    /// The upstream asked this node to send no requests for a while.
     Resting,
-    /// It was already chosen for the request.
+    /// The upstream was already chosen for the request.
     Tried,
-    /// It is cold and slow start does not allow this node another request now.
+    /// The upstream is cold and slow start does not allow this node another request now.
     Cold,
 }
 
--- a/crates/steer/src/dispatch/mod.rs
+++ b/crates/steer/src/dispatch/mod.rs
@@ -12,10 +12,10 @@
 //! leaves its region), [`admission`] (whether it may wait), [`retry`] and [`retry_budget`] (whether
 //! it is retried), [`give_up`] (the error response to its caller).
 //!
-//! State per upstream: [`ejection`], [`failure_rate`], [`silence`] and [`work_time`] (combined in
-//! [`health`]), [`slow_start`] and [`slow_start_owner`], [`expected_work`], [`reported_load`],
+//! State per upstream: [`ejection`], [`failure_rate`], [`silence`] and [`processing_time_ratio`]
+//! (combined in [`health`]), [`slow_start`] and [`slow_start_owner`], [`reported_load`],
 //! [`peer_load`], [`lapsed`] entries, and the upstream's own statements: [`upstream_limit`],
-//! [`leaving`] and [`rest`].
+//! [`leaving`] and [`rest`]. State per service: [`expected_processing_time`].
 //!
 //! [`fleet`] covers coordination between nodes, and [`stop`] a planned shutdown.
 
--- a/crates/steer/src/dispatch/overflow.rs
+++ b/crates/steer/src/dispatch/overflow.rs
@@ -10,24 +10,18 @@
 use crate::dispatch::candidate;
 
 /// Fraction of the operator's shift limit that overflow may use; `region::shift` uses another part.
-///
-/// See docs/measurements/platform.md, row "a bounded share leaves a crowded region" (0.968 to 1.000
-/// and 0.953 to 0.979).
 const SHARE_OF_SHIFT_LIMIT: f64 = 0.3;
 
 /// Capacity of the token bucket: a few requests may leave together when a region fills up.
 const MAX_BURST_REQUESTS: f64 = 3.0;
 
 /// Queueing time above which a region is congested, as a fraction of the route's target latency.
-///
-/// The measurement cited for [`SHARE_OF_SHIFT_LIMIT`] includes this value.
 const CONGESTED_WAIT_FRACTION: f64 = 0.5;
 
 /// Minimum reduction in response time, in seconds, for a request to leave its region.
 ///
-/// Near full load, comparing response times instead of queueing times raises the requests in time
-/// from 88.6 % to 92.4 % (`steer/tests/load`); see also docs/measurements/worst-load.md, row
-/// "overflow by the time until the answer".
+/// Response times are compared, because comparing queueing times makes more requests late near full
+/// load.
 const MIN_SAVED_SECONDS: f64 = 0.1;
 
 /// Returns whether a region whose best candidate is `best` is congested for a route with this target
@@ -49,7 +43,8 @@
         self.tokens = (self.tokens + greatest_shift * SHARE_OF_SHIFT_LIMIT).min(MAX_BURST_REQUESTS);
     }
 
-    /// Returns the candidate to use instead of `current` of a congested region, and takes a token for it.
+    /// Returns the candidate to use instead of `current` of a congested region, and takes a token
+    /// for it.
     ///
     /// Returns `None` if the request stays in its region.
     pub fn choose<'a>(
--- a/crates/steer/src/dispatch/priority.rs
+++ b/crates/steer/src/dispatch/priority.rs
@@ -24,16 +24,15 @@
 /// Maximum queueing time of a less urgent request, as a fraction of the shortest target latency of
 /// the more urgent routes.
 ///
-/// With a quarter of the service's capacity missing, refusals of urgent requests drop from 13.6 % to
-/// 0 % and those in time rise from 67.1 % to 82.4 % (`steer/tests/load`); see also
-/// docs/measurements/worst-load.md, row "urgent requests first" (0.1, 0.25, 0.4 and 0.6 compared).
+/// Without this limit, urgent requests are refused or late when part of the service's capacity is
+/// missing.
 const MAX_WAIT_FRACTION: f64 = 0.4;
 
 /// Admission rate, relative to that of all requests, below which less urgent requests may queue as
 /// long as urgent ones.
 ///
 /// Higher than the quarter that less urgent requests are to keep, since upstreams may still refuse
-/// admitted requests. See docs/measurements/worst-load.md, row "urgent requests first".
+/// admitted requests.
 const STARVED_FRACTION: f64 = 0.3;
 
 /// Admission rate of an organisation's requests below which less urgent organisations leave capacity
--- a/crates/steer/src/dispatch/region/distance.rs
+++ b/crates/steer/src/dispatch/region/distance.rs
@@ -20,9 +20,8 @@
 
 /// Target number of requests per slot in the local region if all others respond too late.
 ///
-/// With regions 90 ms apart, raises a small region's requests in time from 34.3 % to 60 %
-/// (`steer/tests/load`); see also docs/measurements/worst-load.md, row "a far region keeps more"
-/// (0.85 and 1.1 compared).
+/// Above one, so that requests queue in the local region before they leave it for a region whose
+/// responses are too late.
 const TARGET_REQUESTS_PER_SLOT: f64 = 1.1;
 
 /// Maximum factor between the local region's current share and its target.
@@ -79,7 +78,7 @@
     }
 }
 
-/// Returns `target` with a larger share for the region `own`, as far as its load permits.
+/// Returns `target` with a larger share for the region `own`, limited by that region's load.
 ///
 /// `current` is the region's present share and `load` its requests per slot.
 #[must_use]
--- a/crates/steer/src/dispatch/region/order.rs
+++ b/crates/steer/src/dispatch/region/order.rs
@@ -19,10 +19,7 @@
 /// Number of requests by which a region may exceed its share, so that requests for the same object
 /// go to the same region.
 ///
-/// See docs/measurements/platform.md, row "objects keep their region" (0.776 to 0.943 and 0.869 to
-/// 0.970), and docs/measurements/worst-load.md, row "a longer lead" (5, 20 and 60 compared).
-/// 1.42 % of the requests reach an upstream that has not cached their object at 5, and 1.33 % at 20
-/// (`steer/tests/load`).
+/// With a smaller value, more requests reach an upstream that has not cached their object.
 const MAX_LEAD_REQUESTS: f64 = 20.0;
 
 /// Set of requests that share a split: those for one service with the same home regions.
--- a/crates/steer/src/dispatch/region/shift.rs
+++ b/crates/steer/src/dispatch/region/shift.rs
@@ -19,8 +19,8 @@
 
 /// Fraction of the shift limit that changes of the split may use.
 ///
-/// See docs/measurements/platform.md, row "a bounded share leaves a crowded region", together with
-/// `overflow::SHARE_OF_SHIFT_LIMIT`. The remainder absorbs rounding to whole requests.
+/// `overflow::SHARE_OF_SHIFT_LIMIT` is the fraction for overflow. The remainder absorbs rounding to
+/// whole requests.
 const SHARE_OF_SHIFT_LIMIT: f64 = 0.5;
 
 /// Returns the limit for changes of the split under `bounds`.
--- a/crates/steer/src/dispatch/seen_objects.rs
+++ b/crates/steer/src/dispatch/seen_objects.rs
@@ -2,8 +2,8 @@
 //!
 //! Owns, for one upstream, the objects of its latest responses to this node, since upstreams process
 //! recently seen objects faster. What an upstream has seen through other nodes is inferred from
-//! [`affinity`], because all nodes prefer the same upstreams for an object. [`expected_work`] measures
-//! the processing time of each case.
+//! [`affinity`], because all nodes prefer the same upstreams for an object.
+//! [`expected_processing_time`] estimates the processing time of each case.
 //!
 //! [`affinity`]: crate::dispatch::affinity
 //! [`expected_processing_time`]: crate::dispatch::expected_processing_time
