--- a/crates/steer/src/dispatch/fleet/active_set.rs
+++ b/crates/steer/src/dispatch/fleet/active_set.rs
@@ -24,9 +24,6 @@
 
 /// Minimum share of the region's capacity in the set, so that it absorbs a burst before the request
 /// rates reported by the nodes reflect it.
-///
-/// docs/measurements/hundreds.md, row "callers are told few gateways", covers it together with
-/// other changes.
 const MIN_CAPACITY_SHARE: f64 = 0.33;
 
 /// Requests per second that one core is assumed to handle.
--- a/crates/steer/src/dispatch/fleet/gossip.rs
+++ b/crates/steer/src/dispatch/fleet/gossip.rs
@@ -15,9 +15,6 @@
 const HEARTBEAT_PER_NODE: Duration = Duration::from_millis(10);
 
 /// Minimum load report interval.
-///
-/// Compared to no reports: 0.932 to 0.968 and 0.941 to 0.953, see docs/measurements/platform.md,
-/// row "loads told every 100 ms".
 const MIN_LOAD_REPORT: Duration = Duration::from_millis(100);
 
 /// Load report interval per other node of the region.
--- a/crates/steer/src/dispatch/fleet/representatives.rs
+++ b/crates/steer/src/dispatch/fleet/representatives.rs
@@ -10,9 +10,6 @@
 use model::id;
 
 /// Number of representatives per region.
-///
-/// See docs/measurements/platform.md, row "speakers tell between regions", and the sweep to 300
-/// nodes in docs/CAPACITY.md.
 pub const PER_REGION: usize = 6;
 
 /// Returns whether `me` is a representative.
--- a/crates/steer/src/dispatch/fleet/store_call.rs
+++ b/crates/steer/src/dispatch/fleet/store_call.rs
@@ -26,9 +26,7 @@
 
 /// Maximum duration of a watch without changes, as a share of [`bound`].
 ///
-/// With it, all nodes were in contact with the store 1.4 s after it had been silent, at the cost of
-/// 121 to 283 more calls on a standard day; see docs/incidents/drain-home.md, row "calls to the
-/// store end within contact".
+/// Shorter watches renew the contact sooner after the store has been silent, but need more calls.
 const WATCH_SHARE: f64 = 0.5;
 
 /// Lower limit of that duration, so that a small bound does not cause a storm of calls.
--- a/crates/steer/src/dispatch/fleet/watchers.rs
+++ b/crates/steer/src/dispatch/fleet/watchers.rs
@@ -13,17 +13,15 @@
 
 /// Number of watchers per region.
 ///
-/// Two need 26 % fewer calls on a standard day than three and meet the same bounds; see
-/// docs/incidents/drain-home.md, row "two watchers a region". With one, a region would receive no
+/// Two need fewer calls than three and meet the same bounds. With one, a region would receive no
 /// changes from the store itself while that watcher is dead but not yet detected as such.
 const PER_REGION: usize = 2;
 
 /// Delay of the first watcher between a change and its next watch; batches changes, because calls
 /// are billed.
 ///
-/// Judging by its length, it halves the calls of a 150 ms delay while entries come and go, and
-/// delays changes by another 0.1 s. See docs/measurements/hundreds.md, row "few calls to the
-/// store", which includes other changes.
+/// Estimated from its length, this delay halves the calls of a 150 ms delay while entries come and
+/// go; it delays changes by another 0.1 s.
 const FIRST_BATCH_DELAY: Duration = Duration::from_millis(250);
 
 /// The same delay for any other watcher, which is a standby for the first.
@@ -32,8 +30,7 @@
 /// Duration of the first watch after a change of any watcher but the first, as a share of the usual
 /// duration.
 ///
-/// Less than half, because the batch delay of these watchers is longer; see
-/// docs/incidents/drain-home.md, row "the second watcher's watch after a change is half as long".
+/// Less than half, because the batch delay of these watchers is longer.
 const OTHERS_WATCH_SHARE: f64 = 0.35;
 
 /// Minimum delay between the start of a node and its first watch; heartbeats of other nodes arrive
@@ -41,8 +38,7 @@
 ///
 /// Without it, every starting node considers itself the first, and its watches end with each entry
 /// that others write. Shorter than the time after which bounds apply to a node that has just
-/// started. See docs/measurements/hundreds.md, row "few calls to the store", which includes other
-/// changes.
+/// started.
 const MIN_SETTLE: Duration = Duration::from_millis(1_000);
 
 /// Maximum delay, as a share of [`store_call::bound`]; leaves time for a call and its answer.
