--- a/crates/steer/src/common/ramp.rs
+++ b/crates/steer/src/common/ramp.rs
@@ -26,7 +26,7 @@
 pub struct Limit {
     /// Maximum share that may move.
     pub share: fraction::Fraction,
-    /// Length of the window.
+    /// Length of the window in which the share may move.
     pub window: Duration,
 }
 
@@ -62,7 +62,8 @@
         &self.position
     }
 
-    /// Moves toward `target` as far as `limit` allows at `now`; returns the share that moved.
+    /// Moves the split toward `target`, by at most what `limit` allows at `now`; returns the share
+    /// that moved.
     ///
     /// Without a limit, the split moves to `target` at once.
     pub fn advance(
--- a/crates/steer/src/dispatch/attempt.rs
+++ b/crates/steer/src/dispatch/attempt.rs
@@ -15,7 +15,7 @@
     Answered(u16),
     /// The upstream refused the request and did not execute it.
     Refused,
-    /// Another upstream responded at its address; the request was not executed.
+    /// Another upstream responded at the upstream's address; the request was not executed.
     Replaced,
     /// Nothing was sent, for this cause.
     NotSent(String),
@@ -55,6 +55,6 @@
 pub struct Attempt {
     /// The upstream.
     pub upstream: id::Upstream,
-    /// How it ended.
+    /// How the attempt ended.
     pub end: End,
 }
--- a/crates/steer/src/dispatch/dispatcher/statements.rs
+++ b/crates/steer/src/dispatch/dispatcher/statements.rs
@@ -87,7 +87,7 @@
     }
 
     /// Records leaving processes announced by another node, or aggregated from several, and returns
-    /// those that were not known to be leaving.
+    /// the announcements of processes that were not known to be leaving.
     pub fn receive_leavings<'a>(
         &mut self,
         node: &id::Node,
--- a/crates/steer/src/dispatch/dispatcher/upstreams.rs
+++ b/crates/steer/src/dispatch/dispatcher/upstreams.rs
@@ -83,7 +83,7 @@
         entries.len() != listed || !entries.iter().all(is_known)
     }
 
-    /// Returns the number of upstreams of a service that accept requests, as far as this node knows.
+    /// Returns the number of upstreams of a service that this node considers available.
     #[must_use]
     pub fn count_working(&self, service: &id::Service, now: Instant) -> usize {
         let of_service = self.upstreams.of_service(service);
--- a/crates/steer/src/dispatch/expected_processing_time.rs
+++ b/crates/steer/src/dispatch/expected_processing_time.rs
@@ -1,7 +1,7 @@
 //! Expected processing time of a service's requests, without queueing.
 //!
-//! Keeps exponentially weighted means and the mean deviation, over all responses and per [`Familiarity`].
-//! The caller divides the measured latency by the crowding at the time of sending.
+//! Keeps exponentially weighted means and the mean deviation, over all responses and per
+//! [`Familiarity`]. The caller divides the measured latency by the crowding at the time of sending.
 //! [`processing_time_ratio`] refines the estimate for one upstream.
 //!
 //! [`processing_time_ratio`]: crate::dispatch::processing_time_ratio
@@ -16,9 +16,6 @@
 const INITIAL_MEAN_SECONDS: f64 = 0.25;
 
 /// Number of mean deviations that the conservative estimate adds to the mean.
-///
-/// Results with this value: docs/measurements/platform.md, row "early refusal by expected time,
-/// loads guessed".
 const CONSERVATIVE_DEVIATIONS: f64 = 1.0;
 
 /// Processing time per familiarity before the first response, as a multiple of the service's mean.
--- a/crates/steer/src/dispatch/failure_rate.rs
+++ b/crates/steer/src/dispatch/failure_rate.rs
@@ -11,9 +11,6 @@
 const ATTEMPT_WEIGHT: f64 = 0.15;
 
 /// Time constant of the exponential decay.
-///
-/// Together with the end of silence, the decay raised taf from 0.968 to 0.989:
-/// docs/measurements/platform.md, row "failures and silence fade".
 const DECAY_TIME: Duration = Duration::from_secs(5);
 
 /// Weighted share of failed attempts, from 0 to 1.
--- a/crates/steer/src/dispatch/give_up.rs
+++ b/crates/steer/src/dispatch/give_up.rs
@@ -32,20 +32,21 @@
 /// Why a request fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// All services of its route have weight zero.
+    /// All services of the request's route have weight zero.
     NoService,
-    /// Its route and its organisation have no home region in common.
+    /// The request's route and organisation have no home region in common.
     NoHome,
-    /// Its organisation's key was revoked while it waited for another attempt.
+    /// The key of the request's organisation was revoked while the request waited for another
+    /// attempt.
     Revoked,
-    /// Its organisation has used up its quota.
+    /// The request's organisation has used up its quota.
     OverQuota {
         /// Time after which the quota allows another request.
         retry_after: Duration,
     },
-    /// It is quarantined because it crashes upstreams.
+    /// The request is quarantined because it crashes upstreams.
     Quarantined {
-        /// Time after which it may be sent again.
+        /// Time after which the request may be sent again.
         retry_after: Duration,
     },
     /// All otherwise eligible upstreams have reached their announced limits.
@@ -67,13 +68,13 @@
     },
     /// Connections to too many upstreams failed.
     Unreachable,
-    /// The last upstream refused it, and no retry is allowed.
+    /// The last upstream refused the request, and no retry is allowed.
     Refused,
-    /// An upstream may have executed it, and it must not be repeated.
+    /// An upstream may have executed the request, which must not be repeated.
     MayHaveRun,
-    /// It was sent, and its deadline passed.
+    /// The request was sent, and its deadline passed.
     TimedOut,
-    /// Its deadline passed before it was sent.
+    /// The request's deadline passed before it was sent.
     NotSent,
 }
 
--- a/crates/steer/src/dispatch/lapsed.rs
+++ b/crates/steer/src/dispatch/lapsed.rs
@@ -16,17 +16,15 @@
 
 /// Time for which upstreams without an entry are used, unless `Bounds::drain` requires less.
 ///
-/// Live upstreams wrote their entries again 0.15 to 0.8 s after the store returned
-/// (docs/measurements/platform.md, row "lapsed entries are used until they should be back"); the
-/// rest is a margin for the propagation to this node.
+/// Live upstreams write their entries again 0.15 to 0.8 s after the store returns; the rest is a
+/// margin for the propagation to this node.
 const REREGISTRATION_TIME: Duration = Duration::from_millis(1_800);
 
 /// Part of `Bounds::drain` reserved for the delays before a node learns of a removal and after it
 /// has selected an upstream.
 ///
-/// It took 0.14 to 0.3 s from the store's acknowledgement to the node
-/// (docs/incidents/drain-home.md); the rest is a margin for a lost heartbeat (0.5 s) and a new
-/// connection.
+/// A removal reaches the node 0.14 to 0.3 s after the store has acknowledged it; the rest is a
+/// margin for a lost heartbeat (0.5 s) and a new connection.
 const PROPAGATION_MARGIN: Duration = Duration::from_millis(700);
 
 /// Share of `Bounds::drain` that is used when only the number of vanished entries suggests an
--- a/crates/steer/src/dispatch/outcome.rs
+++ b/crates/steer/src/dispatch/outcome.rs
@@ -1,4 +1,4 @@
-//! Result of an attempt at an upstream, as far as it changes what a node knows about the upstream.
+//! Result of an attempt at an upstream, with what a node learns from it about the upstream.
 //!
 //! The gateway reports it at the end of each attempt, and the dispatcher applies it. [`retry`]
 //! decides what follows for the request.
@@ -30,7 +30,7 @@
         /// Load that the upstream reported.
         load: Option<load::Report>,
     },
-    /// Another upstream responded at its address.
+    /// Another upstream responded at the upstream's address.
     Replaced,
     /// No connection could be established, so nothing was sent.
     NotSent,
--- a/crates/steer/src/dispatch/processing_time_ratio.rs
+++ b/crates/steer/src/dispatch/processing_time_ratio.rs
@@ -1,9 +1,9 @@
 //! Processing time of one upstream, relative to the usual one of its service.
 //!
-//! [`expected_processing_time`] estimates the usual processing time, which depends on whether the upstream has
-//! seen the object. Because the estimate here is a ratio, it is not distorted by objects that are
-//! new to the upstream. A slow upstream becomes more expensive in [`selection`], and is tried again
-//! as the estimate decays.
+//! [`expected_processing_time`] estimates the usual processing time, which depends on whether the
+//! upstream has seen the object. Because the estimate here is a ratio, it is not distorted by
+//! objects that are new to the upstream. A slow upstream becomes more expensive in [`selection`],
+//! and is tried again as the estimate decays.
 //!
 //! [`expected_processing_time`]: crate::dispatch::expected_processing_time
 //! [`selection`]: crate::dispatch::selection
@@ -16,8 +16,6 @@
 const RESPONSE_WEIGHT: f64 = 0.2;
 
 /// Time constant with which the estimate decays to 1.
-///
-/// Results with this value: docs/measurements/platform.md, row "failures and silence fade".
 const DECAY_TIME: Duration = Duration::from_secs(4);
 
 /// Ratio of one upstream's processing time to the usual one of its service.
--- a/crates/steer/src/dispatch/quarantine/mod.rs
+++ b/crates/steer/src/dispatch/quarantine/mod.rs
@@ -272,7 +272,7 @@
         self.rulings.expire(now);
     }
 
-    /// Returns all rulings, including those that are not in force.
+    /// Returns all rulings, whether or not they are in force.
     pub fn rulings(&self) -> impl Iterator<Item = (&Scope, &Ruling)> {
         self.rulings.iter()
     }
--- a/crates/steer/src/dispatch/quarantine/record.rs
+++ b/crates/steer/src/dispatch/quarantine/record.rs
@@ -35,7 +35,7 @@
 pub struct Occurrence {
     /// The caller that sent the request.
     pub caller: Caller,
-    /// When it was sent to the upstream.
+    /// When the request was sent to the upstream.
     pub sent: Instant,
     /// The crash.
     pub crash: Crash,
--- a/crates/steer/src/dispatch/quarantine/report.rs
+++ b/crates/steer/src/dispatch/quarantine/report.rs
@@ -13,7 +13,7 @@
 /// Sightings per second that a node reports on average; the refill rate of the budget.
 const SIGHTINGS_PER_SECOND: f64 = 60.0;
 
-/// Maximum burst of sightings after a period without any.
+/// Maximum number of sightings that a node reports at once after a pause.
 const MAX_BURST: f64 = 120.0;
 
 /// The origin of a report.
--- a/crates/steer/src/dispatch/quarantine/ruling.rs
+++ b/crates/steer/src/dispatch/quarantine/ruling.rs
@@ -1,8 +1,9 @@
 //! Rulings: which requests are held back, since when, and until when.
 //!
-//! Holds the rulings in force and those that were released; their number is bounded. The ruling
-//! with the greater number wins, so that a request released by an operator is not held back again
-//! because of a report from a node that has not received the release yet.
+//! Holds a bounded number of rulings: those in force, and for a time the expired ones and the
+//! releases by operators. Of two rulings on the same requests, the one with the greater number wins,
+//! so that a request released by an operator is not held back again because of a report from a node
+//! that has not received the release yet.
 
 use std::collections;
 use std::time::{Duration, Instant};
--- a/crates/steer/src/dispatch/retry.rs
+++ b/crates/steer/src/dispatch/retry.rs
@@ -27,8 +27,7 @@
 
 /// Number of unreachable upstreams after which a request fails.
 ///
-/// With 3, requests failed while other upstreams were idle, because several had crashed together
-/// (docs/incidents/diagne.md, inc-c429).
+/// With 3, requests fail while other upstreams are idle if several upstreams crash together.
 const MAX_UNREACHABLE: usize = 6;
 
 /// Next step after an attempt.
@@ -47,17 +46,17 @@
 /// Properties of a request that are the same for all attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Its route.
+    /// The route of the request.
     pub route: &'a route::Route,
     /// The service selected by the route.
     pub service: &'a id::Service,
-    /// Hash of its object, or of the request itself if it has no object.
+    /// Hash of the request's object, or of the request itself if it has no object.
     pub key: u64,
     /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// Regions that may serve it; empty for all regions.
+    /// Regions that may serve the request; empty for all regions.
     pub homes: &'a [id::Region],
-    /// Its urgency.
+    /// The urgency of the request.
     pub urgency: urgency::Urgency,
 }
 
--- a/crates/steer/src/dispatch/retry_budget.rs
+++ b/crates/steer/src/dispatch/retry_budget.rs
@@ -48,7 +48,7 @@
 /// Parameters of a budget.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
-    /// Length of the window.
+    /// Length of the sliding window in which attempts are counted.
     pub window: Duration,
     /// Retries allowed per first attempt.
     pub ratio: f64,
--- a/crates/steer/src/dispatch/upstream.rs
+++ b/crates/steer/src/dispatch/upstream.rs
@@ -29,20 +29,21 @@
     pub load: reported_load::Load,
     /// Health as observed by this node.
     pub health: health::Health,
-    /// Objects of its latest responses to this node.
+    /// Objects of the upstream's latest responses to this node.
     pub objects: seen_objects::Objects,
     /// Limits the request rate while the upstream is cold.
     pub slow_start: slow_start::Limiter,
-    /// Whether this node is the one that may send to the upstream while it is cold; only updated
-    /// during that time.
+    /// Whether this node is the only one allowed to send to the upstream while the upstream is cold;
+    /// only updated during that time.
     pub is_slow_start_owner: bool,
-    /// Whether another upstream answered at its address.
+    /// Whether another upstream answered at this upstream's address.
     pub is_replaced: bool,
-    /// Whether it announced that it is leaving.
+    /// Whether the upstream announced that it is leaving.
     pub announced_leaving: bool,
-    /// End of the latest rest that it asked for; `None` if it has not asked.
+    /// End of the latest rest that the upstream asked for; `None` if it has not asked.
     pub rests_until: Option<Instant>,
-    /// Time until which it is used although its entry is missing, in case the entry only lapsed.
+    /// Time until which the upstream is used although its entry is missing, in case the entry only
+    /// lapsed.
     pub lapsed_until: Option<Instant>,
 }
 
