--- a/crates/steer/src/dispatch/dispatcher/upstreams.rs
+++ b/crates/steer/src/dispatch/dispatcher/upstreams.rs
@@ -83,7 +83,8 @@
         entries.len() != listed || !entries.iter().all(is_known)
     }
 
-    /// Returns the number of upstreams of a service that this node considers available.
+    /// Returns the number of upstreams of a service that this node considers available, regardless
+    /// of evacuations of their halls.
     #[must_use]
     pub fn count_working(&self, service: &id::Service, now: Instant) -> usize {
         let of_service = self.upstreams.of_service(service);
--- a/crates/steer/src/dispatch/fleet/watchers.rs
+++ b/crates/steer/src/dispatch/fleet/watchers.rs
@@ -81,10 +81,9 @@
     /// from 0 to 1.
     ///
     /// The shares differ, so that watches that began together after a change do not end together.
-    /// If the store stops answering them, one fails half a watch earlier, and a node that the store
-    /// still answers takes over within the 2 s bound on leaving upstreams rather than 0.1 s after
-    /// it (process test with three nodes). Costs at most one call per change that is followed by a
-    /// quiet period.
+    /// If the store stops answering them, one fails about half a watch earlier, and a node that the
+    /// store still answers takes over within the 2 s bound on leaving upstreams rather than 0.1 s
+    /// after it. Costs at most one call per change that is followed by a quiet period.
     #[must_use]
     pub fn watch_share(self) -> f64 {
         if self.0 == 0 { 1.0 } else { OTHERS_WATCH_SHARE }
