--- a/crates/steer/src/dispatch/fleet/watchers.rs
+++ b/crates/steer/src/dispatch/fleet/watchers.rs
@@ -13,17 +13,15 @@
 
 /// Number of watchers per region.
 ///
-/// Two need 26 % fewer calls on a standard day than three and meet the same bounds; see
-/// docs/incidents/drain-home.md, row "two watchers a region". With one, a region would receive no
+/// Two need fewer calls than three and meet the same bounds. With one, a region would receive no
 /// changes from the store itself while that watcher is dead but not yet detected as such.
 const PER_REGION: usize = 2;
 
 /// Delay of the first watcher between a change and its next watch; batches changes, because calls
 /// are billed.
 ///
-/// Judging by its length, it halves the calls of a 150 ms delay while entries come and go, and
-/// delays changes by another 0.1 s. See docs/measurements/hundreds.md, row "few calls to the
-/// store", which includes other changes.
+/// Estimated from its length, this delay halves the calls of a 150 ms delay while entries come and
+/// go; it delays changes by another 0.1 s.
 const FIRST_BATCH_DELAY: Duration = Duration::from_millis(250);
 
 /// The same delay for any other watcher, which is a standby for the first.
@@ -32,8 +30,7 @@
 /// Duration of the first watch after a change of any watcher but the first, as a share of the usual
 /// duration.
 ///
-/// Less than half, because the batch delay of these watchers is longer; see
-/// docs/incidents/drain-home.md, row "the second watcher's watch after a change is half as long".
+/// Less than half, because the batch delay of these watchers is longer.
 const OTHERS_WATCH_SHARE: f64 = 0.35;
 
 /// Minimum delay between the start of a node and its first watch; heartbeats of other nodes arrive
@@ -41,11 +38,10 @@
 ///
 /// Without it, every starting node considers itself the first, and its watches end with each entry
 /// that others write. Shorter than the time after which bounds apply to a node that has just
-/// started. See docs/measurements/hundreds.md, row "few calls to the store", which includes other
-/// changes.
+/// started.
 const MIN_SETTLE: Duration = Duration::from_millis(1_000);
 
-/// Maximum delay, as a share of `Bounds::contact`; leaves time for a call and its answer.
+/// Maximum delay, as a share of [`store_call::bound`]; leaves time for a call and its answer.
 const MAX_SETTLE_SHARE: f64 = 0.6;
 
 /// Maximum random addition to [`MIN_SETTLE`], so that nodes that start at the same time do not
@@ -57,12 +53,12 @@
 ///
 /// Zero without seeds, which means that there are no other nodes.
 #[must_use]
-pub fn settle(contact: Duration, has_seeds: bool, draw: f64) -> Duration {
+pub fn settle(bound: Duration, has_seeds: bool, draw: f64) -> Duration {
     if !has_seeds {
         return Duration::ZERO;
     }
-    // The node must have had an answer from the store once `contact` has passed.
-    let longest = contact.mul_f64(MAX_SETTLE_SHARE);
+    // The node must have had an answer from the store once `Bounds::contact` has passed.
+    let longest = bound.mul_f64(MAX_SETTLE_SHARE);
     (MIN_SETTLE + SETTLE_SPREAD.mul_f64(draw)).min(longest)
 }
 
@@ -85,10 +81,9 @@
     /// from 0 to 1.
     ///
     /// The shares differ, so that watches that began together after a change do not end together.
-    /// If the store stops answering them, one fails half a watch earlier, and a node that the store
-    /// still answers takes over within the 2 s bound on leaving upstreams rather than 0.1 s after
-    /// it (process test with three nodes). Costs at most one call per change that is followed by a
-    /// quiet period.
+    /// If the store stops answering them, one fails about half a watch earlier, and a node that the
+    /// store still answers takes over within the 2 s bound on leaving upstreams rather than 0.1 s
+    /// after it. Costs at most one call per change that is followed by a quiet period.
     #[must_use]
     pub fn watch_share(self) -> f64 {
         if self.0 == 0 { 1.0 } else { OTHERS_WATCH_SHARE }
--- a/crates/steer/src/dispatch/quarantine/mod.rs
+++ b/crates/steer/src/dispatch/quarantine/mod.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A decision of this node.
+/// A change of which requests are held back, decided by this node or applied from a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// The requests that the decision applies to.
@@ -272,7 +272,7 @@
         self.rulings.expire(now);
     }
 
-    /// Returns all rulings, including those that are not in force.
+    /// Returns all rulings, whether or not they are in force.
     pub fn rulings(&self) -> impl Iterator<Item = (&Scope, &Ruling)> {
         self.rulings.iter()
     }
