--- a/crates/steer/src/dispatch/quota/usage.rs
+++ b/crates/steer/src/dispatch/quota/usage.rs
@@ -73,7 +73,7 @@
     /// Returns how many requests were admitted since `previous` was reported, `age` ago.
     ///
     /// A rate is a sum of requests that decay with [`TIME_CONSTANT`], so two rates determine how many requests came between them,
-    /// however many reports between them were lost. A rate that fell faster than it decays, even allowing for [`MAX_JITTER`],
+    /// however many reports between them were lost. A rate that fell faster than it decays, even allowing for jitter,
     /// means that the node restarted: requests that it admitted but did not report before are unknown, and the requests admitted
     /// since are given by its rate.
     #[must_use]
