--- a/crates/steer/src/dispatch/dispatcher/statements.rs
+++ b/crates/steer/src/dispatch/dispatcher/statements.rs
@@ -76,7 +76,7 @@
     ) -> Vec<(sync::Arc<discovery::Entry>, observation::Change)> {
         let changed = self.limits.receive(node, report, now);
         let known =
-            changed.into_iter().filter_map(|upstream_limit::Changed { upstream, change }| {
+            changed.into_iter().filter_map(|upstream_limit::ChangedLimit { upstream, change }| {
                 Some((sync::Arc::clone(&self.upstreams.get_by_key(upstream)?.entry), change))
             });
         known.collect()
--- a/crates/steer/src/dispatch/upstream_limit/mod.rs
+++ b/crates/steer/src/dispatch/upstream_limit/mod.rs
@@ -64,7 +64,7 @@
 
 /// Change of an upstream's limit that a report caused.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Changed {
+pub struct ChangedLimit {
     /// The upstream.
     pub upstream: peer_load::Key,
     /// How its limit changed.
@@ -113,7 +113,7 @@
     }
 
     /// Records a report from another node, or summed over several; returns the limits that changed.
-    pub fn receive(&mut self, node: &id::Node, report: &Report, now: Instant) -> Vec<Changed> {
+    pub fn receive(&mut self, node: &id::Node, report: &Report, now: Instant) -> Vec<ChangedLimit> {
         let mut changed = Vec::new();
         for announcement in &report.announcements {
             let at = now.checked_sub(announcement.age).unwrap_or(now);
@@ -121,7 +121,7 @@
                 self.observations.record(announcement.upstream, announcement.limit, at, Some(node));
             if let Some(change) = change {
                 self.apply(announcement.upstream, change.now, now);
-                changed.push(Changed { upstream: announcement.upstream, change });
+                changed.push(ChangedLimit { upstream: announcement.upstream, change });
             }
         }
         if let Some(accounts) = &mut self.accounts {
