--- a/crates/node/src/gateway/proxy/head.rs
+++ b/crates/node/src/gateway/proxy/head.rs
@@ -54,7 +54,7 @@
     /// Hash of the object that it is about; none when it names none.
     pub object: Option<u64>,
     /// What it says of a key; the key itself is not kept.
-    pub key: key::Given,
+    pub key: key::Credential,
     dialect: dialect::Dialect,
     parts: request::Parts,
 }
@@ -102,7 +102,7 @@
         organisation: Option<&id::Organisation>,
         body: &[u8],
     ) -> fingerprint::Fingerprint {
-        let sender = fingerprint::Sender { address: self.caller, object: self.object };
+        let sender = fingerprint::CallerIdentity { address: self.caller, object: self.object };
         fingerprint::Fingerprint::of(&self.asked(organisation, body), &sender)
     }
 
@@ -116,8 +116,8 @@
         &'a self,
         organisation: Option<&'a id::Organisation>,
         body: &'a [u8],
-    ) -> fingerprint::Asked<'a> {
-        fingerprint::Asked {
+    ) -> fingerprint::RequestContent<'a> {
+        fingerprint::RequestContent {
             method: self.parts.method.as_str(),
             host: &self.host,
             target: self.parts.uri.path_and_query().map_or("/", |target| target.as_str()),
--- a/crates/node/src/gateway/state/quarantine.rs
+++ b/crates/node/src/gateway/state/quarantine.rs
@@ -22,7 +22,7 @@
     pub fn record_crash(&self, sighting: Sighting) {
         let now = Instant::now();
         let mut quarantine = self.quarantine.borrow_mut();
-        let decision = quarantine.crashed(sighting, Source::Own, unix_millis(), now);
+        let decision = quarantine.record_crash(sighting, Source::Own, unix_millis(), now);
         drop(quarantine);
         self.log_decisions(decision.as_slice(), None);
         self.quarantine_changed.notify_one();
@@ -32,7 +32,7 @@
     pub fn record_success(&self, request: &Fingerprint) {
         let now = Instant::now();
         let mut quarantine = self.quarantine.borrow_mut();
-        let decision = quarantine.succeeded(request, Source::Own, unix_millis(), now);
+        let decision = quarantine.record_success(request, Source::Own, unix_millis(), now);
         let has_report = quarantine.has_report();
         drop(quarantine);
         self.log_decisions(decision.as_slice(), None);
@@ -49,14 +49,14 @@
 
     /// Sets the requests of `scope` free, as an operator asks.
     pub fn release(&self, scope: Scope) {
-        let decision = self.quarantine.borrow_mut().lift(scope, unix_millis(), Instant::now());
+        let decision = self.quarantine.borrow_mut().release(scope, unix_millis(), Instant::now());
         self.log_decisions(&[decision], None);
         self.quarantine_changed.notify_one();
     }
 
     /// Judges what was recorded, if it is time.
     pub fn judge_crashes(&self, now: Instant) {
-        let decisions = self.quarantine.borrow_mut().judge(unix_millis(), now);
+        let decisions = self.quarantine.borrow_mut().evaluate(unix_millis(), now);
         self.log_decisions(&decisions, None);
     }
 
@@ -66,10 +66,10 @@
         let unix_millis = unix_millis();
         let mut decisions = Vec::new();
         for sighting in report.sightings {
-            decisions.extend(quarantine.crashed(sighting, source, unix_millis, now));
+            decisions.extend(quarantine.record_crash(sighting, source, unix_millis, now));
         }
         for request in report.cleared {
-            decisions.extend(quarantine.succeeded(&request, source, unix_millis, now));
+            decisions.extend(quarantine.record_success(&request, source, unix_millis, now));
         }
         for (scope, ruling) in report.rulings {
             decisions.extend(quarantine.apply_ruling(scope, ruling, source, now));
--- a/crates/node/src/owner/callers/entry/mod.rs
+++ b/crates/node/src/owner/callers/entry/mod.rs
@@ -81,7 +81,7 @@
         mut source: body::Source,
         region: Option<id::Region>,
     ) -> Result<Response<body::Body>, verdict::Failure> {
-        let repetition = order.service.repetition(order.method.as_str(), &order.path);
+        let repetition = order.service.retry_policy(order.method.as_str(), &order.path);
         let name = order.service.name.clone();
         let place = order.place.clone();
         let (routed, mut decision) = self.handle.route(name, place, region).await;
@@ -94,7 +94,7 @@
                 Err(failed) => failed,
             };
             order.avoid.extend(failed.upstream);
-            let failure = failed.failure.after_tries(so_far);
+            let failure = failed.failure.with_earlier_verdict(so_far);
             so_far = failure.verdict;
             if !source.is_ready() || order.deadline <= self.handle.now() {
                 return Err(failure);
--- a/crates/steer/src/dispatch/dispatcher/tries.rs
+++ b/crates/steer/src/dispatch/dispatcher/tries.rs
@@ -1,4 +1,5 @@
-//! Tries: what the dispatcher learns from the start and the end of each, and the retry budget.
+//! Attempts: state updates when a request is sent to an upstream and when it ends, and the retry
+//! budget.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +8,7 @@
 use model::load;
 
 use crate::dispatch::dispatcher::Dispatcher;
-use crate::dispatch::expected_work;
+use crate::dispatch::expected_processing_time;
 use crate::dispatch::outcome;
 use crate::dispatch::region::distance;
 use crate::dispatch::retry_budget;
@@ -17,21 +18,22 @@
 use crate::dispatch::upstream;
 
 impl Dispatcher {
-    /// Takes one retry to `service` from the budget; returns false when none is left.
+    /// Takes one retry from the budget of `service`; returns false if none is left.
     pub fn may_retry(&mut self, service: &id::Service, now: Instant) -> bool {
         let allowance = self.allowance();
-        self.budgets.entry(service.clone()).or_default().retry(allowance, now)
+        self.budgets.entry(service.clone()).or_default().take_retry(allowance, now)
     }
 
-    /// Records the start of a try; `is_first` unless the request was sent before.
+    /// Records the start of an attempt; `is_first` is false for retries.
     ///
-    /// Returns the upstream's crowding, which the try's end needs; 1 when the upstream is not known.
+    /// Returns the upstream's crowding, to be passed in the attempt's outcome; 1 if the upstream is
+    /// unknown.
     pub fn sent(&mut self, upstream: &id::Upstream, is_first: bool, now: Instant) -> f64 {
         let allowance = self.allowance();
         let Some(upstream) = self.upstreams.get_mut(upstream) else { return 1.0 };
         let crowding = upstream.crowding(now);
-        upstream.health.sent(upstream.load.in_flight(), now);
-        upstream.load.sent();
+        upstream.health.record_sent(upstream.load.in_flight(), now);
+        upstream.load.record_sent();
         let service = &upstream.entry.service;
         if let Some(rate) = slow_start::rate(&self.routing, service)
             && upstream.slow_start.is_cold(now)
@@ -39,14 +41,14 @@
             upstream.slow_start.take(rate, now);
         }
         if is_first {
-            self.budgets.entry(service.clone()).or_default().first_try(allowance, now);
+            self.budgets.entry(service.clone()).or_default().record_first_attempt(allowance, now);
         }
         crowding
     }
 
-    /// Records how a try ended that [`Dispatcher::sent`] announced `waited` ago.
+    /// Records the outcome of an attempt whose start was recorded by [`Dispatcher::sent`] `waited` ago.
     ///
-    /// A try at an upstream that is gone since, or that started again, changes nothing.
+    /// Ignored if the upstream has been removed or restarted since.
     pub fn ended(
         &mut self,
         upstream: &discovery::Entry,
@@ -59,35 +61,36 @@
             return;
         }
         let upstream = known;
-        upstream.load.ended();
+        upstream.load.record_end();
         let in_flight = upstream.load.in_flight();
         let work = self.work.entry(upstream.entry.service.clone()).or_default();
         match outcome {
             outcome::Outcome::Answered { latency, crowding, object, load } => {
                 let time = seconds::Seconds(latency.as_secs_f64() / crowding.max(1.0));
-                let sight = object.map_or(seen_objects::Sight::Preferred, |object| object.sight);
-                upstream.health.answered(time, work.of(sight), in_flight, now);
+                let familiarity = object
+                    .map_or(seen_objects::Familiarity::Preferred, |object| object.familiarity);
+                upstream.health.record_answer(time, work.mean_for(familiarity), in_flight, now);
                 let distance = self.distances.entry(upstream.entry.service.clone()).or_default();
-                record_time(work, distance, &upstream.region, sight, time);
+                record_time(work, distance, &upstream.region, familiarity, time);
                 if let Some(object) = object {
                     upstream.objects.record(object.key);
                 }
                 apply_report(upstream, load, now);
             }
-            outcome::Outcome::TurnedAway { load } => {
-                upstream.health.refused(in_flight, now);
+            outcome::Outcome::Refused { load } => {
+                upstream.health.record_refusal(in_flight, now);
                 apply_report(upstream, load, now);
-                upstream.load.full(upstream.entry.slots, now);
+                upstream.load.record_full(upstream.entry.slots, now);
             }
             outcome::Outcome::Replaced => upstream.is_replaced = true,
-            outcome::Outcome::NotSent => upstream.health.unreachable(now),
-            // A refusal that proves nothing, with which it asked for rest.
+            outcome::Outcome::NotSent => upstream.health.record_unreachable(now),
+            // A resting upstream refused the request without proof that it was not executed.
             outcome::Outcome::Broken if upstream.is_resting(now) => {}
-            outcome::Outcome::Broken => upstream.health.broken(now),
-            outcome::Outcome::TimedOut => upstream.health.timed_out(waited, work.mean(), now),
+            outcome::Outcome::Broken => upstream.health.record_broken(now),
+            outcome::Outcome::TimedOut => upstream.health.record_timeout(waited, work.mean(), now),
             outcome::Outcome::Abandoned => {}
         }
-        upstream.health.ended(in_flight);
+        upstream.health.record_end(in_flight);
     }
 
     fn allowance(&self) -> retry_budget::Allowance {
@@ -103,20 +106,20 @@
 
 fn apply_report(upstream: &mut upstream::Upstream, report: Option<load::Report>, now: Instant) {
     if let Some(report) = report {
-        upstream.load.report(report, now);
+        upstream.load.record_report(report, now);
     }
 }
 
-/// Records how long a request took without waiting, where its upstream knew as much as `sight` says.
+/// Records the processing time of a request, without queueing, for the given `familiarity`.
 fn record_time(
-    work: &mut expected_work::Work,
+    work: &mut expected_processing_time::ProcessingTimes,
     distance: &mut distance::Distance,
     region: &id::Region,
-    sight: seen_objects::Sight,
+    familiarity: seen_objects::Familiarity,
     time: seconds::Seconds,
 ) {
-    work.record(time, sight);
-    if sight <= seen_objects::Sight::Preferred {
-        distance.record_answer(region, time);
+    work.record(time, familiarity);
+    if familiarity <= seen_objects::Familiarity::Preferred {
+        distance.record_response(region, time);
     }
 }
--- a/crates/steer/src/dispatch/upstream_limit/urgency_mix.rs
+++ b/crates/steer/src/dispatch/upstream_limit/urgency_mix.rs
@@ -44,9 +44,9 @@
     pub fn admission_ratio(&self, ratio: f64, rank: priority::Rank, now: Instant) -> f64 {
         let urgent = self.urgent.get(now) / self.all.get(now).max(EPSILON);
         match rank {
-            priority::Rank::Alone => ratio,
+            priority::Rank::Uncontested => ratio,
             priority::Rank::MostUrgent => ratio / urgent.max(EPSILON),
-            priority::Rank::Behind { .. } => (ratio - urgent) / (1.0 - urgent).max(EPSILON),
+            priority::Rank::LessUrgent { .. } => (ratio - urgent) / (1.0 - urgent).max(EPSILON),
         }
     }
 }
