--- a/crates/steer/src/dispatch/quota/account.rs
+++ b/crates/steer/src/dispatch/quota/account.rs
@@ -29,8 +29,8 @@
 }
 
 impl Account {
-    /// Creates an account without requests; `seed` differs between nodes and organisations, and the demand decays with
-    /// `time_constant`.
+    /// Creates an account without requests; `seed` differs between nodes and organisations, and the
+    /// demand decays with `time_constant`.
     #[must_use]
     pub fn new(
         name: String,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Records admitted requests; a negative `requests` takes some back. `share` is this node's share of the limit in requests
-    /// per second.
+    /// Records admitted requests; a negative `requests` takes some back. `share` is this node's
+    /// share of the limit in requests per second.
     pub fn admit(&mut self, requests: f64, share: f64, now: Instant) {
         self.bucket.take(requests);
         self.admitted.add(requests, now);
--- a/crates/steer/src/dispatch/quota/bucket.rs
+++ b/crates/steer/src/dispatch/quota/bucket.rs
@@ -1,32 +1,38 @@
 //! Token bucket of the whole fleet, as one node estimates it.
 //!
-//! Each node keeps such a bucket for every limit. It takes a token at once for each request that it admits itself, and takes
-//! tokens for the other nodes at the rate that they reported last, corrected by each new report. Requests that were admitted
-//! before the nodes learned of a sudden load therefore become a debt that all nodes repay, whichever node admitted them and
+//! Each node keeps such a bucket for every limit. The node deducts a token at once for each request
+//! that it admits itself, and deducts tokens for the other nodes at the rate that they reported
+//! last, corrected by each new report. Requests that were admitted before the nodes learned of a
+//! sudden load therefore become a debt that all nodes repay, whichever node admitted them and
 //! wherever the callers have moved since.
 
 use std::time::{Duration, Instant};
 
-/// Step of the additive sequence that replaces random draws: multiples of the golden ratio spread evenly over 0 to 1.
+/// Step of the additive sequence that replaces random draws: multiples of the golden ratio spread
+/// evenly over 0 to 1.
 const GOLDEN_RATIO_STEP: f64 = 0.618_033_988_749_895;
 
 /// Time over which the tokens in the bucket are spent while demand exceeds the limit.
 ///
-/// Nodes on both sides of a network partition spend the same tokens until they detect it. With 1.5 s, a randomly generated
-/// fleet with two of ten nodes isolated admitted 1.045 times what is granted.
+/// Nodes on both sides of a network partition spend the same tokens until they detect it. With
+/// 1.5 s, a randomly generated fleet with two of ten nodes isolated admitted 1.045 times what is
+/// granted.
 const SPEND_TIME: Duration = Duration::from_millis(2_500);
 
-/// Time over which a debt is repaid. Longer than reports take, so that the admitted rate does not oscillate.
+/// Time over which a debt is repaid. Longer than reports take, so that the admitted rate does not
+/// oscillate.
 const DEBT_REPAYMENT_TIME: Duration = Duration::from_millis(500);
 
 /// Factor on the refill rate while the bucket is less than half full.
 ///
-/// It covers requests that nodes learn of late and those that restarted nodes forgot, neither of which is deducted. Without it,
-/// 3 of about 2,000 randomly generated fleets exceeded what is granted, the worst by 2.2 %. An organisation below its limit
-/// keeps its bucket more than half full and is not affected; one above its limit gets 3 % less.
+/// The lower rate makes up for requests that are not deducted: requests that nodes learn of late
+/// and requests that restarted nodes forgot. At the full rate, 3 of about 2,000 randomly generated
+/// fleets exceeded what is granted, the worst by 2.2 %. An organisation below its limit keeps its
+/// bucket more than half full and is not affected; an organisation above its limit gets 3 % less.
 const LOW_LEVEL_REFILL: f64 = 0.97;
 
-/// Largest debt, as the time that it takes to refill it: the default window in which quotas are counted.
+/// Largest debt, as the time that it takes to refill it: the default window in which quotas are
+/// counted.
 const MAX_DEBT_TIME: Duration = Duration::from_secs(5);
 
 /// Token bucket with one token per request; a negative level is a debt.
@@ -40,7 +46,8 @@
 }
 
 impl Bucket {
-    /// Creates an empty bucket, so that a restarted node does not grant the burst again; `seed` differs between nodes.
+    /// Creates an empty bucket, so that a restarted node does not grant the burst again; `seed`
+    /// differs between nodes.
     #[must_use]
     pub fn new(seed: u64, now: Instant) -> Self {
         #[expect(clippy::cast_precision_loss, reason = "any fraction will do")]
@@ -48,9 +55,11 @@
         Self { level: 0.0, capacity: 0.0, refilled_at: now, sample }
     }
 
-    /// Refills the bucket up to `capacity` at `limit` tokens per second, less the `others` per second that other nodes take.
+    /// Refills the bucket up to `capacity` at `limit` tokens per second, less the `others` tokens
+    /// per second that other nodes use.
     ///
-    /// If the capacity shrinks because some nodes became unreachable, their share of the tokens is left to them.
+    /// If the capacity shrinks because some nodes became unreachable, their share of the tokens is
+    /// left to them.
     pub fn refill(&mut self, limit: f64, others: f64, capacity: f64, now: Instant) {
         if self.level > 0.0 && capacity < self.capacity {
             self.level *= capacity / self.capacity;
@@ -63,8 +72,8 @@
         self.refilled_at = now;
     }
 
-    /// Returns the ratio of requests to admit if the fleet's demand is `demand` requests per second; `extra` tokens are
-    /// available beside those in the bucket.
+    /// Returns the ratio of requests to admit if the fleet's demand is `demand` requests per
+    /// second; `extra` tokens are available beside those in the bucket.
     #[must_use]
     pub fn admission_ratio(&self, limit: f64, demand: f64, extra: f64) -> f64 {
         let time = if self.level < 0.0 { DEBT_REPAYMENT_TIME } else { SPEND_TIME };
@@ -78,12 +87,14 @@
         self.sample < ratio
     }
 
-    /// Takes tokens for requests that this node or another one admitted; a negative `tokens` returns some.
+    /// Deducts tokens for requests that this node or another node admitted; a negative `tokens`
+    /// returns some.
     pub fn take(&mut self, tokens: f64) {
         self.level -= tokens;
     }
 
-    /// Raises the debt to `debt`, as another node reported it, if that is larger than the debt known here.
+    /// Raises the debt to `debt`, as another node reported it, if that is larger than the debt
+    /// known here.
     pub fn raise_debt(&mut self, debt: f64) {
         if debt > 0.0 {
             self.level = self.level.min(-debt);
--- a/crates/steer/src/dispatch/quota/excess.rs
+++ b/crates/steer/src/dispatch/quota/excess.rs
@@ -1,14 +1,14 @@
 //! Recent requests that a node admitted beyond its share of a limit.
 //!
-//! The other nodes deduct this number when they receive the node's first report, so that requests admitted before that report
-//! count too.
+//! The other nodes deduct this number when they receive the node's first report, so that requests
+//! admitted before that report count too.
 
 use std::time::{Duration, Instant};
 
 /// Time constant with which an excess decays: somewhat longer than the first report takes.
 ///
-/// An organisation whose callers all use one node has an excess there although it stays below its limit, so the excess must
-/// decay quickly.
+/// An organisation whose callers all use one node has an excess there although it stays below its
+/// limit, so the excess must decay quickly.
 const TIME_CONSTANT: Duration = Duration::from_millis(500);
 
 /// Exponentially decaying number of requests beyond the node's share.
--- a/crates/steer/src/dispatch/quota/forwarder.rs
+++ b/crates/steer/src/dispatch/quota/forwarder.rs
@@ -1,7 +1,8 @@
 //! Forwards the reports of several nodes as one sum.
 //!
-//! Keeps what was forwarded last, and the rates of the sum. These rates are computed from the number of requests that the reports
-//! account for, so that a node joining or leaving the sum does not look like requests that start or stop.
+//! Keeps what was forwarded last, and the rates of the sum. These rates are computed from the
+//! number of requests that the reports account for, so that a node joining or leaving the sum does
+//! not look like requests that start or stop.
 
 use std::collections;
 use std::time::Instant;
@@ -22,8 +23,8 @@
 }
 
 impl Forwarder {
-    /// Returns the summed usages of the nodes selected by `is_included` that are due to be forwarded; `limit` returns the limit
-    /// of an organisation.
+    /// Returns the summed usages of the nodes selected by `is_included` that are due to be
+    /// forwarded; `limit` returns the limit of an organisation.
     pub fn report(
         &mut self,
         reports: &mut reports::Reports,
--- a/crates/steer/src/dispatch/quota/mod.rs
+++ b/crates/steer/src/dispatch/quota/mod.rs
@@ -1,16 +1,20 @@
-//! Fleet-wide rate limits of organisations: decides which requests each node admits, so that the fleet stays within the limits.
+//! Fleet-wide rate limits of organisations: decides which requests each node admits, so that the
+//! fleet stays within the limits.
 //!
-//! The limits that [upstreams announce](crate::dispatch::upstream_limit) are enforced in the same way, with accounts of their
-//! own.
+//! The limits that [upstreams announce](crate::dispatch::upstream_limit) are enforced in the same
+//! way, with accounts of their own.
 //!
-//! Nodes share no counter. For each organisation, every node keeps a token [`bucket`] of the whole fleet. Its own requests are
-//! deducted at once, those of other nodes as they are reported with the load reports ([`usage`]); nodes report organisations that
-//! are near their limits. All nodes admit the same ratio of their requests, so that the total fits the limit and a debt is repaid
-//! within a second, whichever nodes admitted the requests and wherever the callers are by now. An organisation whose total demand
-//! stays below its limit is not refused.
+//! Nodes share no counter. For each organisation, every node keeps a token [`bucket`] of the whole
+//! fleet. A node deducts the requests that it admits itself at once, and the requests of other
+//! nodes as they are reported with the load reports ([`usage`]); nodes report organisations that
+//! are near their limits. All nodes admit the same ratio of their requests, so that the total fits
+//! the limit and a debt is repaid within a second, whichever nodes admitted the requests and
+//! wherever the callers are by now. An organisation whose total demand stays below its limit is not
+//! refused.
 //!
-//! An isolated node keeps to its [`share`] of the limit, which is its share of all admitted requests, and the other nodes leave
-//! that share to it. A node that has just started takes less than an equal share until it receives reports from others.
+//! An isolated node keeps to its [`share`] of the limit, which is its share of all admitted
+//! requests, and the other nodes leave that share to it. A node that has just started takes less
+//! than an equal share until it receives reports from others.
 //!
 //! Reads no clock; the current time is passed in.
 
@@ -39,7 +43,8 @@
 
 /// Time for which an organisation counts as near its limit after a node found it there.
 ///
-/// Several times [`usage::TIME_CONSTANT`], so that an organisation that stays around its limit is reported continuously.
+/// Several times [`usage::TIME_CONSTANT`], so that an organisation that stays around its limit is
+/// reported continuously.
 const NEAR_LIMIT_TIME: Duration = Duration::from_secs(3);
 
 /// Fraction of its share of a limit from which a node reports the organisation as near its limit.
@@ -47,18 +52,20 @@
 /// As long as no node does so, the fleet's demand is below this fraction of the limit.
 const NEAR_LIMIT_DEMAND: f64 = 0.75;
 
-/// Excess from which a node reports an organisation as near its limit; a single request is not significant.
+/// Excess from which a node reports an organisation as near its limit; a single request is not
+/// significant.
 const NEAR_LIMIT_EXCESS: f64 = 2.0;
 
-/// Fraction of the configured slack that is added to the buckets; the rest covers requests that nodes learn of late.
+/// Fraction of the configured slack that is added to the buckets; the rest covers requests that
+/// nodes learn of late.
 const BUCKET_SLACK: f64 = 0.5;
 
-/// Time constant of the demand for an upstream. Each node has few such requests, and with a shorter one the peak after each
-/// request would be mistaken for a higher rate.
+/// Time constant of the demand for an upstream. Each node has few such requests, and with a shorter
+/// time constant the peak after each request would be mistaken for a higher rate.
 const UPSTREAM_DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(3);
 
-/// Shortest and longest time after which a refused caller may retry. The longest is the default window in which quotas are
-/// counted.
+/// Shortest and longest time after which a refused caller may retry. The longest time is the
+/// default window in which quotas are counted.
 const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_secs(5));
 
@@ -66,8 +73,8 @@
 #[derive(Clone, Debug)]
 pub struct Quotas {
     accounts: collections::HashMap<Key, Account>,
-    /// Requests of organisations below their limits. Those of an organisation far above its limit would enlarge the shares of
-    /// the nodes that receive them.
+    /// Requests of organisations below their limits. Requests of an organisation far above its
+    /// limit would enlarge the shares of the nodes that receive them.
     total_demand: rate::Rate,
     reports: reports::Reports,
     /// When this node last found an organisation near its limit.
@@ -80,8 +87,8 @@
 }
 
 impl Quotas {
-    /// Creates the accounts of `node`; `slack` is the number of requests by which an organisation may exceed its limit over the
-    /// whole fleet.
+    /// Creates the accounts of `node`; `slack` is the number of requests by which an organisation
+    /// may exceed its limit over the whole fleet.
     #[must_use]
     pub fn new(node: &id::Node, slack: f64, now: Instant) -> Self {
         Self {
@@ -117,7 +124,8 @@
         self.near_limit.retain(|key, _| self.accounts.contains_key(key));
     }
 
-    /// Sets the limit of an upstream with `key`; an existing account keeps its rates and its bucket.
+    /// Sets the limit of an upstream with `key`; an existing account keeps its rates and its
+    /// bucket.
     pub fn set_limit(&mut self, key: Key, name: &str, quota: organisation::Quota, now: Instant) {
         let seed = self.seed ^ u64::from(key.0);
         let new = || Account::new(name.to_owned(), quota, seed, UPSTREAM_DEMAND_TIME_CONSTANT, now);
@@ -153,7 +161,8 @@
         self.reports.set_timing(timing);
     }
 
-    /// Sets whether this node reaches the store, itself or through another node; if not, this node is the isolated one.
+    /// Sets whether this node reaches the store, itself or through another node; if not, this node
+    /// counts as isolated.
     pub fn set_store_known(&mut self, is_known: bool) {
         self.reachability.set_store_reachable(is_known);
     }
@@ -180,9 +189,11 @@
         }
     }
 
-    /// Admits a request of the account of `key`; returns the admission ratio, which is infinite without a limit.
+    /// Admits a request of the account of `key`; returns the admission ratio, which is infinite
+    /// without a limit.
     ///
-    /// `adjust` converts the admission ratio of all requests into the one for requests like this one.
+    /// `adjust` converts the admission ratio of all requests into the ratio for requests like this
+    /// one.
     ///
     /// # Errors
     ///
@@ -213,7 +224,8 @@
         Ok(ratio)
     }
 
-    /// Refills the bucket of an organisation up to `now`; returns the part of its limit that belongs to the reachable nodes.
+    /// Refills the bucket of an organisation up to `now`; returns the part of its limit that
+    /// belongs to the reachable nodes.
     fn refill(&mut self, key: Key, view: share::FleetView, now: Instant) -> Option<f64> {
         let others = self.reachable_usage(key, &view).admitted;
         let account = self.accounts.get_mut(&key)?;
@@ -259,7 +271,8 @@
         usages
     }
 
-    /// Returns the summed usages of the nodes selected by `is_included` that `forwarder` is due to forward.
+    /// Returns the summed usages of the nodes selected by `is_included` that `forwarder` is due to
+    /// forward.
     pub fn report_sum(
         &mut self,
         is_included: impl Fn(&id::Node) -> bool,
--- a/crates/steer/src/dispatch/quota/reachability.rs
+++ b/crates/steer/src/dispatch/quota/reachability.rs
@@ -1,26 +1,30 @@
 //! Which nodes this node reaches, derived from the reports that it receives.
 //!
-//! Keeps the times of the reports, and the fleet's demand as it was before this node became isolated.
+//! Keeps the times of the reports, and the fleet's demand as it was before this node became
+//! isolated.
 
 use std::time::{Duration, Instant};
 
 use crate::dispatch::quota::reports;
 use crate::dispatch::quota::share;
 
-/// Time after the first report after which the demand of the other nodes counts as known; a little more than the time between
-/// two reports.
+/// Time after the first report after which the demand of the other nodes counts as known; a little
+/// more than the time between two reports.
 const WARM_UP: Duration = Duration::from_millis(500);
 
 /// The warm-up ends early once one in this many of the other nodes has reported.
 const WARM_UP_NODES_DIVISOR: usize = 3;
 
-/// Time after the first report during which a node takes over debts from reports; later it has tracked them itself.
+/// Time after the first report during which a node takes over debts from reports; later the node
+/// has tracked the debts itself.
 const DEBT_SYNC_TIME: Duration = Duration::from_secs(1);
 
-/// Time without any report after which a node considers itself isolated; every other node reports more often than that.
+/// Time without reports after which a node considers itself isolated; every other node reports more
+/// often than that.
 ///
-/// Until then it spends the other nodes' tokens too. With 1.5 s, a fleet of ten nodes with a limit of 452 requests per second,
-/// two of them isolated just before a sudden load, admitted 1.124 times what is granted.
+/// Until then the node spends the other nodes' tokens too. With 1.5 s, a fleet of ten nodes with a
+/// limit of 452 requests per second, two of them isolated just before a sudden load, admitted 1.124
+/// times what is granted.
 const ISOLATED_AFTER: Duration = Duration::from_millis(650);
 
 /// Lower bound of the fleet's rate, in requests per second, that prevents a division by zero.
@@ -39,9 +43,9 @@
 
 /// Tracks whether this node receives reports from others.
 ///
-/// A node that receives no reports takes at most an equal share. In a large region, nodes that lookups do not return receive no
-/// reports, and the first reports may come from nodes without callers: two of twenty gateways each took the whole limit (193
-/// requests in 5 s of 157 granted).
+/// A node that receives no reports takes at most an equal share. In a large region, nodes that
+/// lookups do not return receive no reports, and the first reports may come from nodes without
+/// callers: two of twenty gateways each took the whole limit (193 requests in 5 s of 157 granted).
 #[derive(Clone, Debug)]
 pub struct Reachability {
     others: usize,
@@ -73,7 +77,8 @@
         self.others = others;
     }
 
-    /// Sets whether this node reaches the store, itself or through another node; if not, this node is the isolated one.
+    /// Sets whether this node reaches the store, itself or through another node; if not, this node
+    /// counts as isolated.
     pub fn set_store_reachable(&mut self, is_reachable: bool) {
         self.is_store_reachable = is_reachable;
     }
@@ -90,7 +95,8 @@
         elapsed(self.first_report_at, now).is_none_or(|time| time < DEBT_SYNC_TIME)
     }
 
-    /// Saves the fleet's demand while this node is connected, for use once it is isolated; `own` is the demand at this node.
+    /// Saves the fleet's demand while this node is connected, for use once it is isolated; `own` is
+    /// the demand at this node.
     pub fn save_demand(&mut self, own: f64, reports: &reports::Reports, now: Instant) {
         if self.is_store_reachable && self.connectivity(reports, now) == Connectivity::Connected {
             let fleet = own + reports.reachable_demand() + reports.unreachable_demand();
--- a/crates/steer/src/dispatch/quota/report_timing.rs
+++ b/crates/steer/src/dispatch/quota/report_timing.rs
@@ -4,27 +4,30 @@
 
 use std::time::Duration;
 
-/// Longest time until a usage is reported again if there are few of them; a quarter of [`VALIDITY`].
+/// Longest time until a usage is reported again if there are few of them; a quarter of
+/// [`VALIDITY`].
 const SHORT_INTERVAL: Duration = Duration::from_millis(380);
 
-/// Longest time until a usage is reported again if there are many. Changed limits and started nodes still become known within
-/// the bound on contact.
+/// Longest time until a usage is reported again if there are many. Changed limits and started nodes
+/// still become known within the bound on contact.
 const LONG_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// Time that each usage adds to the interval for each receiving node. With 18 bytes per usage it bounds the traffic to 1.5 KB
-/// per second.
+/// Time that each usage adds to the interval for each receiving node. With 18 bytes per usage, this
+/// interval bounds the traffic to 1.5 KB per second.
 const TIME_PER_USAGE: Duration = Duration::from_millis(12);
 
-/// Time for which a usage that is repeated every [`SHORT_INTERVAL`] stays valid, so that three repetitions in a row may be lost.
+/// Time for which a usage that is repeated every [`SHORT_INTERVAL`] stays valid, so that three
+/// repetitions in a row may be lost.
 const VALIDITY: Duration = Duration::from_millis(1_500);
 
-/// Time for which a node is assumed to admit requests at its last reported rate; a little more than the time between two reports.
+/// Time for which a node is assumed to admit requests at its last reported rate; a little more than
+/// the time between two reports.
 ///
-/// It is short because a node stops reporting an organisation that is no longer near its limit.
+/// Short because a node stops reporting an organisation that is no longer near its limit.
 const EXTRAPOLATION: Duration = Duration::from_millis(600);
 
-/// Time within which an admitted request is reported when rates are not extrapolated: several reports of a node in a small
-/// region, one in a large region.
+/// Time within which an admitted request is reported when rates are not extrapolated: several
+/// reports of a node in a small region, one report in a large region.
 const MAX_DELAY: Duration = Duration::from_millis(200);
 
 /// Timing of reported usages.
@@ -34,7 +37,8 @@
     pub interval: Duration,
     /// Time for which a reported usage stays valid.
     pub validity: Duration,
-    /// Time for which a node is assumed to admit requests at its last reported rate; zero to disable this.
+    /// Time for which a node is assumed to admit requests at its last reported rate; zero to
+    /// disable this.
     pub extrapolation: Duration,
     /// Time within which an admitted request is reported.
     pub max_delay: Duration,
@@ -52,9 +56,11 @@
 }
 
 impl ReportTiming {
-    /// Returns the timing for `usages` that are sent to each of `nodes` other nodes, without extrapolation.
+    /// Returns the timing for `usages` that are sent to each of `nodes` other nodes, without
+    /// extrapolation.
     ///
-    /// Extrapolation would treat a node that sends a single request now and then as one that sends requests continuously.
+    /// Extrapolation would treat a node that sends a single request now and then as one that sends
+    /// requests continuously.
     #[must_use]
     pub fn without_extrapolation(usages: usize, nodes: usize) -> Self {
         let sent = u32::try_from(usages.saturating_mul(nodes)).unwrap_or(u32::MAX);
--- a/crates/steer/src/dispatch/quota/reporter.rs
+++ b/crates/steer/src/dispatch/quota/reporter.rs
@@ -1,7 +1,8 @@
 //! Decides which usages to report.
 //!
-//! Keeps the last report of each usage. A usage is reported at once if the receivers' estimate would be wrong, and otherwise a
-//! few times per second, so that the cost of reports does not grow with the organisations that are far below their limits.
+//! Keeps the last report of each usage. A usage is reported at once if the receivers' estimate
+//! would be wrong, and otherwise a few times per second, so that the cost of reports does not grow
+//! with the organisations that are far below their limits.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -12,11 +13,12 @@
 /// Change of the demand that is reported at once, as a fraction of the organisation's limit.
 const IMMEDIATE_CHANGE: f64 = 0.05;
 
-/// Smallest change that is reported at once, in requests per second: one or two requests change a rate by less.
+/// Smallest change that is reported at once, in requests per second: one or two requests change a
+/// rate by less.
 const MIN_IMMEDIATE_CHANGE: f64 = 2.0;
 
-/// Difference between the admitted requests and the receivers' estimate that is reported at once. A sudden load that is spread
-/// over many nodes shows at each of them as only one or two requests.
+/// Difference between the admitted requests and the receivers' estimate that is reported at once. A
+/// sudden load that is spread over many nodes shows at each of them as only one or two requests.
 const IMMEDIATE_SURPLUS: f64 = 1.0;
 
 /// Last report of one usage.
--- a/crates/steer/src/dispatch/quota/reports.rs
+++ b/crates/steer/src/dispatch/quota/reports.rs
@@ -1,8 +1,9 @@
 //! Usages that other nodes reported.
 //!
-//! Keeps the latest usage by node and organisation, and the sums over nodes, which are updated with each report. A usage that is
-//! not reported again becomes invalid after a [time](report_timing::ReportTiming). The demand of all organisations at a node is
-//! kept for some seconds more, since a node that became unreachable may still admit requests.
+//! Keeps the latest usage by node and organisation, and the sums over nodes, which are updated with
+//! each report. A usage that is not reported again becomes invalid after a
+//! [time](report_timing::ReportTiming). The demand of all organisations at a node is kept for some
+//! seconds more, since a node that became unreachable may still admit requests.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -42,7 +43,8 @@
         now.saturating_duration_since(self.received_at)
     }
 
-    /// Replaces the usage; returns how many more requests were admitted than the previous usage predicted.
+    /// Replaces the usage; returns how many more requests were admitted than the previous usage
+    /// predicted.
     fn replace(&mut self, usage: Usage, timing: report_timing::ReportTiming, now: Instant) -> f64 {
         let age = self.age(now);
         let predicted = self.usage.admitted * age.min(timing.extrapolation).as_secs_f64();
@@ -60,7 +62,8 @@
 /// Effect of a report on the fleet's bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// How many more requests the node admitted than its previous report predicted; negative if it admitted fewer.
+    /// How many more requests the node admitted than its previous report predicted; negative if it
+    /// admitted fewer.
     Surplus(f64),
     /// First report of the node; until then the node is assumed to admit its share of the limit.
     First,
@@ -126,7 +129,8 @@
         Effect::Surplus(surplus)
     }
 
-    /// Removes reports older than `retention`, and recomputes the sums so that no rounding errors accumulate.
+    /// Removes reports older than `retention`, and recomputes the sums so that no rounding errors
+    /// accumulate.
     fn expire(&mut self, retention: Duration, timing: report_timing::ReportTiming, now: Instant) {
         let (mut sum, mut unreachable_demand) = (Sum::default(), 0.0);
         self.by_node.retain(|_, report| {
@@ -143,8 +147,8 @@
         (self.sum, self.unreachable_demand) = (sum, unreachable_demand);
     }
 
-    /// Returns the summed usage of the nodes selected by `is_included`, and the number of their admitted requests that have not
-    /// been forwarded yet; marks these as forwarded.
+    /// Returns the summed usage of the nodes selected by `is_included`, and the number of their
+    /// admitted requests that have not been forwarded yet; marks these as forwarded.
     fn forward(
         &mut self,
         is_included: &impl Fn(&id::Node) -> bool,
@@ -201,7 +205,8 @@
         self.total.sum.demand
     }
 
-    /// Returns the last reported demand of all organisations at nodes that have become unreachable, in requests per second.
+    /// Returns the last reported demand of all organisations at nodes that have become unreachable,
+    /// in requests per second.
     #[must_use]
     pub fn unreachable_demand(&self) -> f64 {
         self.total.unreachable_demand
@@ -223,8 +228,8 @@
         near.map(|(key, _)| *key).collect()
     }
 
-    /// Returns the summed usages of the nodes selected by `is_included`, by organisation, each with the number of admitted
-    /// requests that have not been forwarded yet; marks these as forwarded.
+    /// Returns the summed usages of the nodes selected by `is_included`, by organisation, each with
+    /// the number of admitted requests that have not been forwarded yet; marks these as forwarded.
     pub fn forward(
         &mut self,
         is_included: impl Fn(&id::Node) -> bool,
--- a/crates/steer/src/dispatch/quota/share.rs
+++ b/crates/steer/src/dispatch/quota/share.rs
@@ -1,18 +1,21 @@
 //! Shares of a limit that belong to this node and to the nodes that it reaches.
 //!
-//! [`FleetView`] holds the demand that a node knows of. From it follow the share of a limit that belongs to the nodes on this
-//! side of a network partition, and the share of this node among them.
+//! [`FleetView`] holds the demand that a node knows of. This demand determines the share of a limit
+//! that belongs to the nodes on this side of a network partition, and the share of this node among
+//! them.
 
 /// Lower bound of shares and rates that prevents a division by zero.
 const EPSILON: f64 = 1e-6;
 
 /// Factor on an equal share for a node without reports from others.
 ///
-/// The other nodes reserve for it only its last reported demand, which is less than an equal share if it restarts repeatedly.
+/// The other nodes reserve only the last reported demand for such a node, which is less than an
+/// equal share if the node restarts repeatedly.
 const STARTUP_SHARE_FACTOR: f64 = 0.5;
 
-/// Requests per organisation that a node without reports admits however small its share is. With none, 300 nodes that started
-/// together refused 0.11 % of the requests of an organisation below its limit.
+/// Requests per organisation that a node without reports admits however small its share is. Without
+/// these requests, 300 nodes that started together refused 0.11 % of the requests of an
+/// organisation below its limit.
 const STARTUP_EXTRA_REQUESTS: f64 = 1.0;
 
 /// Demand of the fleet as one node knows it, in requests per second of all organisations.
@@ -33,7 +36,8 @@
 }
 
 impl FleetView {
-    /// Returns the view of a node that never received a report from any of the `others` listed nodes.
+    /// Returns the view of a node that never received a report from any of the `others` listed
+    /// nodes.
     #[must_use]
     pub fn without_reports(others: usize) -> Self {
         let share = STARTUP_SHARE_FACTOR * equal_share(others);
@@ -55,9 +59,10 @@
 
     /// Returns the share of a limit that belongs to this node and the nodes that it reaches.
     ///
-    /// An unreachable node may be isolated and still admit requests, so its share is left to it. If it is dead, its callers move
-    /// to the other nodes, whose share then grows with their demand. An isolated node receives no callers from others, so any
-    /// additional demand is a load that the others see too, and its share stays the same.
+    /// An unreachable node may be isolated and still admit requests, so the other nodes leave its
+    /// share to it. If the node is dead, its callers move to the other nodes, whose share then
+    /// grows with their demand. An isolated node receives no callers from others, so any additional
+    /// demand is a load that the others see too, and its share stays the same.
     #[must_use]
     pub fn reachable_share(&self) -> f64 {
         let current = self.own + self.reachable + self.unreachable;
@@ -65,7 +70,8 @@
         (1.0 - self.unreachable / total).max(EPSILON)
     }
 
-    /// Returns this node's share among itself and the nodes that it reaches; 1 if none of them has requests.
+    /// Returns this node's share among itself and the nodes that it reaches; 1 if none of them has
+    /// requests.
     #[must_use]
     pub fn own_share(&self) -> f64 {
         match self.own + self.reachable {
--- a/crates/steer/src/dispatch/upstream_limit/announcement.rs
+++ b/crates/steer/src/dispatch/upstream_limit/announcement.rs
@@ -1,8 +1,9 @@
 //! Decides which limits a node announces to others.
 //!
-//! Keeps the last announcement of each limit. A changed limit is announced at once. A limit that was only confirmed is announced
-//! periodically by the nodes that received the response themselves, so that starting nodes learn of it; the traffic therefore
-//! grows with the number of responses and not with the number of nodes.
+//! Keeps the last announcement of each limit. A changed limit is announced at once. A limit that
+//! was only confirmed is announced periodically by the nodes that received the response themselves,
+//! so that starting nodes learn of it; the traffic therefore grows with the number of responses and
+//! not with the number of nodes.
 
 use std::collections;
 use std::time::{Duration, Instant};
--- a/crates/steer/src/dispatch/upstream_limit/mod.rs
+++ b/crates/steer/src/dispatch/upstream_limit/mod.rs
@@ -1,11 +1,12 @@
-//! Rate limits that upstreams announce in their responses: the requests per second that an upstream accepts from all nodes
-//! together.
+//! Rate limits that upstreams announce in their responses: the requests per second that an upstream
+//! accepts from all nodes together.
 //!
-//! [`observation`] keeps the announced limits, [`announcement`] reports them to other nodes, and each upstream with a limit has
-//! an account. The accounts are those of [`quota`]: each node keeps a token bucket of the whole fleet, and all nodes admit the
-//! same ratio of the requests for the upstream, so its limit is used wherever the requests come from. A limit is neither a
-//! fault nor a full queue: an upstream is selected as if it had no limit, and skipped if its account admits no more requests.
-//! Reads no clock; the current time is passed in.
+//! [`observation`] keeps the announced limits, [`announcement`] reports them to other nodes, and
+//! each upstream with a limit has an account. The accounts are those of [`quota`]: each node keeps
+//! a token bucket of the whole fleet, and all nodes admit the same ratio of the requests for the
+//! upstream, so the upstream's limit is used wherever the requests come from. A limit is neither a
+//! fault nor a full queue: an upstream is selected as if it had no limit, and skipped if its
+//! account admits no more requests. Reads no clock; the current time is passed in.
 
 pub mod announcement;
 pub mod observation;
@@ -22,15 +23,16 @@
 use crate::dispatch::priority;
 use crate::dispatch::quota::{self, account, report_timing, usage};
 
-/// Lowest rate of an account, in requests per second. An upstream that accepts no requests is still tried now and then, since
-/// only a response shows that the limit has ended.
+/// Lowest rate of an account, in requests per second. An upstream that accepts no requests is still
+/// tried now and then, since only a response shows that the limit has ended.
 const MIN_RATE: f64 = 0.25;
 
-/// Burst of an account, as the time in which its rate refills it, so that tokens that were not used in time can be used soon
-/// after.
+/// Burst of an account, as the time in which the account's rate refills the burst, so that tokens
+/// that were not used in time can be used soon after.
 const BURST_TIME: Duration = Duration::from_millis(500);
 
-/// Smallest burst of an account, in requests. With a burst of one, a request would often have to wait after one at another node.
+/// Smallest burst of an account, in requests. With a burst of one, a request would often have to
+/// wait after a request at another node.
 const MIN_BURST: f64 = 3.0;
 
 /// Limits that upstreams announced, as one node knows them.
@@ -86,7 +88,8 @@
         }
     }
 
-    /// Sets how many other nodes are known or listed, and whether this node reaches the store, itself or through another node.
+    /// Sets how many other nodes are known or listed, and whether this node reaches the store,
+    /// itself or through another node.
     pub fn set_contact(&mut self, others: usize, is_store_known: bool) {
         (self.others, self.is_store_known) = (others, is_store_known);
         if let Some(accounts) = &mut self.accounts {
@@ -169,7 +172,8 @@
         Report { announcements, usages: usages.unwrap_or_default() }
     }
 
-    /// Returns the summed report of the nodes selected by `is_included` that `forwarder` is due to forward.
+    /// Returns the summed report of the nodes selected by `is_included` that `forwarder` is due to
+    /// forward.
     pub fn report_sum(
         &mut self,
         is_included: impl Fn(&id::Node) -> bool,
--- a/crates/steer/src/dispatch/upstream_limit/observation.rs
+++ b/crates/steer/src/dispatch/upstream_limit/observation.rs
@@ -1,7 +1,8 @@
 //! Latest limit that each upstream announced.
 //!
-//! Observations come from this node's own responses and from reports of other nodes, in any order; the one with the latest
-//! response time applies. Reports hold ages instead of times, so that clocks need not be synchronised.
+//! Observations come from this node's own responses and from reports of other nodes, in any order;
+//! the observation with the latest response time applies. Reports hold ages instead of times, so
+//! that clocks need not be synchronised.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -14,7 +15,8 @@
 /// Largest number of upstreams with an observation, so that reports cannot exhaust the memory.
 const MAX_UPSTREAMS: usize = 16_384;
 
-/// Time for which an observation without effect is kept, so that an older one that arrives later is recognised as outdated.
+/// Time for which an observation without effect is kept, so that an older observation that arrives
+/// later is recognised as outdated.
 const RETENTION: Duration = Duration::from_secs(10);
 
 /// Latest observation of one upstream.
@@ -63,7 +65,8 @@
         self.by_upstream.values().filter(|known| known.limit.is_some()).count()
     }
 
-    /// Records an observation made at `at`; returns the change if it is the latest observation and changes the limit.
+    /// Records an observation made at `at`; returns the change if it is the latest observation and
+    /// changes the limit.
     ///
     /// The absence of a limit is not recorded for an upstream without an earlier observation.
     pub fn record(
@@ -95,7 +98,8 @@
         }
     }
 
-    /// Removes limits that ended long ago and limits of upstreams that are no longer known; returns their upstreams.
+    /// Removes limits that ended long ago and limits of upstreams that are no longer known; returns
+    /// their upstreams.
     pub fn expire(
         &mut self,
         is_known: impl Fn(peer_load::Key) -> bool,
--- a/crates/steer/src/dispatch/upstream_limit/urgency_mix.rs
+++ b/crates/steer/src/dispatch/upstream_limit/urgency_mix.rs
@@ -1,7 +1,8 @@
 //! Mix of urgent and less urgent requests for an upstream with a limit.
 //!
-//! Keeps the rates of both at this node. If the limit is exceeded, urgent requests are admitted first. All nodes see about the
-//! same mix, so each relies on its own and does not report it.
+//! Keeps the rates of urgent and of less urgent requests at this node. If the limit is exceeded,
+//! urgent requests are admitted first. All nodes see about the same mix, so each node relies on its
+//! own mix and does not report it.
 
 use std::time::{Duration, Instant};
 
