--- a/crates/steer/src/dispatch/quota/account.rs
+++ b/crates/steer/src/dispatch/quota/account.rs
@@ -52,7 +52,7 @@
     /// Records admitted requests; a negative `requests` takes some back. `share` is this node's
     /// share of the limit in requests per second.
     pub fn admit(&mut self, requests: f64, share: f64, now: Instant) {
-        self.bucket.take(requests);
+        self.bucket.deduct(requests);
         self.admitted.add(requests, now);
         self.excess.add(requests, share, now);
     }
--- a/crates/steer/src/dispatch/quota/bucket.rs
+++ b/crates/steer/src/dispatch/quota/bucket.rs
@@ -89,7 +89,7 @@
 
     /// Deducts tokens for requests that this node or another node admitted; a negative `tokens`
     /// returns some.
-    pub fn take(&mut self, tokens: f64) {
+    pub fn deduct(&mut self, tokens: f64) {
         self.level -= tokens;
     }
 
--- a/crates/steer/src/dispatch/quota/mod.rs
+++ b/crates/steer/src/dispatch/quota/mod.rs
@@ -176,7 +176,7 @@
         if !self.has_limits() {
             return Ok(());
         }
-        if self.take(Key::of(organisation), std::convert::identity, now)? >= 1.0 {
+        if self.try_admit(Key::of(organisation), std::convert::identity, now)? >= 1.0 {
             self.count_request(now);
         }
         Ok(())
@@ -198,7 +198,7 @@
     /// # Errors
     ///
     /// Returns the time to wait before a retry if the limit is used up.
-    pub fn take(
+    pub fn try_admit(
         &mut self,
         key: Key,
         adjust: impl FnOnce(f64) -> f64,
@@ -294,9 +294,9 @@
             let effect = self.reports.record(node, *usage, now);
             let Some(account) = self.accounts.get_mut(&usage.key) else { continue };
             match effect {
-                reports::Effect::Surplus(requests) => account.bucket.take(requests),
+                reports::Effect::Surplus(requests) => account.bucket.deduct(requests),
                 reports::Effect::First => {
-                    account.bucket.take(usage.excess);
+                    account.bucket.deduct(usage.excess);
                     if self.reachability.has_just_started(now) {
                         account.bucket.raise_debt(usage.debt);
                     }
--- a/crates/steer/src/dispatch/upstream_limit/mod.rs
+++ b/crates/steer/src/dispatch/upstream_limit/mod.rs
@@ -161,7 +161,7 @@
         let new = || urgency_mix::UrgencyMix::new(now);
         let mix = self.urgency_mixes.entry(upstream).or_insert_with(new);
         mix.record(rank, now);
-        accounts.take(key, |ratio| mix.admission_ratio(ratio, rank, now), now).map(|_| ())
+        accounts.try_admit(key, |ratio| mix.admission_ratio(ratio, rank, now), now).map(|_| ())
     }
 
     /// Returns what this node is due to report.
