--- a/crates/steer/src/dispatch/quota/mod.rs
+++ b/crates/steer/src/dispatch/quota/mod.rs
@@ -110,7 +110,7 @@
         let organisations = routing.organisations.iter().flat_map(organisation::Index::iter);
         for organisation in organisations {
             let Some(quota) = organisation.quota else { continue };
-            let key = Key::of(&organisation.name);
+            let key = Key::for_organisation(&organisation.name);
             let account = match previous.remove(&key) {
                 Some(known) => Account { quota, ..known },
                 None => {
@@ -176,7 +176,8 @@
         if !self.has_limits() {
             return Ok(());
         }
-        if self.try_admit(Key::of(organisation), std::convert::identity, now)? >= 1.0 {
+        if self.try_admit(Key::for_organisation(organisation), std::convert::identity, now)? >= 1.0
+        {
             self.count_request(now);
         }
         Ok(())
@@ -239,7 +240,7 @@
     /// Reverts [`Quotas::admit`] for a request that was not sent.
     pub fn give_back(&mut self, organisation: &id::Organisation, now: Instant) {
         let view = self.fleet_view(now);
-        if let Some(account) = self.accounts.get_mut(&Key::of(organisation)) {
+        if let Some(account) = self.accounts.get_mut(&Key::for_organisation(organisation)) {
             let share = account.quota.rate * view.reachable_share() * view.own_share();
             account.admit(-1.0, share, now);
         }
--- a/crates/steer/src/dispatch/quota/usage.rs
+++ b/crates/steer/src/dispatch/quota/usage.rs
@@ -42,7 +42,7 @@
 
     /// Returns the key of an organisation.
     #[must_use]
-    pub fn of(organisation: &id::Organisation) -> Self {
+    pub fn for_organisation(organisation: &id::Organisation) -> Self {
         let hash = xxh3::xxh3_64(organisation.as_str().as_bytes());
         #[expect(clippy::cast_possible_truncation, reason = "the low half of a hash")]
         let key = hash as u32;
