--- a/crates/bench/src/organisations.rs
+++ b/crates/bench/src/organisations.rs
@@ -96,7 +96,7 @@
             asked: 5.0,
             admitted: 5.0,
             is_near: true,
-            ..usage::Usage::none(usage::Key::for_organisation(name))
+            ..usage::Usage::idle(usage::Key::for_organisation(name))
         };
         let usages: Vec<_> = self.names.iter().take(NEAR).map(usage).collect();
         for node in 0..NODES {
--- a/crates/node/src/gateway/load_report.rs
+++ b/crates/node/src/gateway/load_report.rs
@@ -159,8 +159,8 @@
         let figure = |figures: &[u32], index: usize| f64::from(figures[index]) / SCALE;
         let usage = |index: usize| {
             let asked = f64::from(self.asked[index] / 2) / SCALE;
-            let none = usage::Usage::none(usage::Key(self.keys[index]));
-            let usage = usage::Usage { asked, is_near: self.asked[index] % 2 == 1, ..none };
+            let idle = usage::Usage::idle(usage::Key(self.keys[index]));
+            let usage = usage::Usage { asked, is_near: self.asked[index] % 2 == 1, ..idle };
             match is_earlier {
                 true => usage::Usage { admitted: asked, ..usage },
                 false => usage::Usage {
--- a/crates/node/tests/load_reports.rs
+++ b/crates/node/tests/load_reports.rs
@@ -55,7 +55,7 @@
         excess: 3.0,
         debt: 40.5,
         is_near: true,
-        ..usage::Usage::none(usage::Key(key))
+        ..usage::Usage::idle(usage::Key(key))
     }
 }
 
--- a/crates/steer/src/dispatch/quota/mod.rs
+++ b/crates/steer/src/dispatch/quota/mod.rs
@@ -254,7 +254,7 @@
             return usages;
         }
         let view = self.fleet_view(now);
-        let total = Usage { asked: self.total_demand.get(now), ..Usage::none(Key::ALL) };
+        let total = Usage { asked: self.total_demand.get(now), ..Usage::idle(Key::ALL) };
         usages.extend(self.reporter.report(total, f64::INFINITY, self.timing, now));
         let reported = self.reports.near_limit(now, NEAR_LIMIT_TIME);
         let own = self.near_limit.keys().copied();
--- a/crates/steer/src/dispatch/quota/reports.rs
+++ b/crates/steer/src/dispatch/quota/reports.rs
@@ -157,7 +157,7 @@
         let included = self.by_node.iter_mut().filter(|(node, r)| r.is_valid && is_included(node));
         let mut sum: Option<(Usage, f64)> = None;
         for (_, report) in included {
-            let (usage, admitted) = sum.get_or_insert((Usage::none(report.usage.key), 0.0));
+            let (usage, admitted) = sum.get_or_insert((Usage::idle(report.usage.key), 0.0));
             usage.asked += report.usage.asked;
             usage.excess += report.usage.excess;
             usage.debt = usage.debt.max(report.usage.debt);
--- a/crates/steer/src/dispatch/quota/usage.rs
+++ b/crates/steer/src/dispatch/quota/usage.rs
@@ -72,7 +72,7 @@
 impl Usage {
     /// Returns the usage of an organisation without requests.
     #[must_use]
-    pub fn none(key: Key) -> Self {
+    pub fn idle(key: Key) -> Self {
         Self { key, asked: 0.0, admitted: 0.0, excess: 0.0, debt: 0.0, is_near: false }
     }
 
