--- a/crates/steer/src/ownership/action.rs
+++ b/crates/steer/src/ownership/action.rs
@@ -1,6 +1,4 @@
-//! Actions: what the decisions ask the process to do.
-//!
-//! Owns the closed set of outputs of [`Core`](crate::ownership::core::Core). Relies on nothing.
+//! Actions: the outputs of [`Core`](crate::ownership::core::Core), which the process carries out.
 
 use std::net;
 use std::sync;
@@ -13,58 +11,58 @@
 use crate::ownership::heartbeat;
 use crate::ownership::request;
 
-/// Something to do.
+/// An action for the process to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a routed request to the owner that was chosen.
+    /// Send a routed request to the selected owner.
     Forward {
         /// The request.
         request: request::Id,
-        /// The region its split chose.
+        /// The region that its split selected.
         region: id::Region,
-        /// The owner; this node itself when it is one.
+        /// The owner, which may be this node.
         owner: member::Key,
-        /// Where the owner listens for peers.
+        /// The address the owner listens on for peers.
         peers: net::SocketAddr,
-        /// Whether the request may wait there for a slot.
+        /// Whether the owner may queue the request for a slot.
         may_wait: bool,
     },
-    /// Run an offered request at an upstream; its slot is taken.
+    /// Send an offered request to an upstream; its slot is already occupied.
     Run {
         /// The request.
         request: request::Id,
         /// The upstream.
         upstream: id::Upstream,
-        /// Where it listens.
+        /// The address the upstream listens on.
         address: net::SocketAddr,
     },
-    /// Refuse a request; it does not run here.
+    /// Refuse a request, which this node does not run.
     Refuse {
         /// The request.
         request: request::Id,
-        /// Why.
+        /// The reason, and whether an earlier try may have run it.
         failure: verdict::Failure,
     },
-    /// Send a heartbeat, and give its reply back as an event.
+    /// Send a heartbeat, and pass its reply to the core as an event.
     Heartbeat {
-        /// Where to.
+        /// The address to send it to.
         to: net::SocketAddr,
-        /// The node expected there; none for a seed.
+        /// The node expected there; `None` for a seed.
         node: Option<id::Node>,
         /// The heartbeat.
         heartbeat: Box<heartbeat::Request>,
     },
-    /// Reply to the heartbeat of the event that is being handled.
+    /// Reply to the heartbeat that is being handled.
     Reply {
-        /// The answer.
+        /// The reply.
         reply: Box<heartbeat::Reply>,
     },
-    /// Fetch the newer configuration that a peer has.
+    /// Fetch a newer configuration from a peer.
     Fetch {
         /// The peer.
         from: net::SocketAddr,
     },
-    /// Write a region's table to the store, if it still holds the epoch before.
+    /// Write a region's table to the store if the store still holds the previous epoch.
     Propose {
         /// The table.
         table: sync::Arc<table::Table>,
--- a/crates/steer/src/ownership/allotment.rs
+++ b/crates/steer/src/ownership/allotment.rs
@@ -1,19 +1,20 @@
-//! Allotment: how many slots of an upstream a node may use by itself, whatever others believe.
+//! Allotment: the slots of an upstream that a node may use without a lease, whichever epochs the other
+//! nodes act on.
 //!
-//! It is the node's share, less what another node may still use under another table. Owns the rule and
-//! its argument. Relies on [`rendezvous`] for the ranks and on [`share`] for their slots.
+//! The allotment is the node's share, less the slots that other nodes may still use under another epoch
+//! of the membership table. [`rendezvous`] ranks the nodes and [`share`] divides the slots among them.
 //!
 //! Let `W` be the epochs from the lowest that any listed node may still act on up to the newest
-//! that this node knows. Two rules, of which the more generous holds:
+//! that this node knows. A node may use the larger of two bounds:
 //!
-//! - **Floor.** The least share this node has over all of `W`. When every node keeps to its floor,
-//!   all keep to the shares of the lowest epoch that is acted on, which add up to the slots.
-//! - **Room.** What the slots leave when each other node is counted with the greatest share it has
-//!   in any epoch it may still act on.
+//! - **Floor.** The minimum of this node's shares over `W`. If every node keeps to its floor, all keep
+//!   to the shares of the lowest epoch that is acted on, which add up to the slots.
+//! - **Remainder.** The slots left over if every other node uses the maximum of its shares in the
+//!   epochs it may still act on.
 //!
-//! Why a mixture is safe: take the node with the newest epoch among those that use room. Nodes with
-//! an older epoch are counted by it with at least what they use. Nodes with a newer epoch keep to
-//! their floor, which is no more than their share in that epoch, which it counted too.
+//! Nodes may safely use different bounds. Take the node with the newest epoch among those that use the
+//! remainder. It counts nodes with an older epoch with at least what they use. Nodes with a newer epoch
+//! keep to their floor, which is at most their share in that node's epoch, which it counts too.
 
 use model::epoch;
 use model::member;
@@ -23,19 +24,19 @@
 use crate::ownership::share;
 use model::upstream;
 
-/// What one node may use of one upstream, and who ranks for it.
+/// The slots of one upstream that one node may use, and the nodes ranked for it.
 #[derive(Clone, Debug)]
 pub struct Allotment {
     /// This node's share in the newest epoch.
     pub share: u32,
-    /// Slots this node may use.
+    /// Slots this node may use without a lease.
     pub usable: u32,
     /// The nodes that hold shares in the newest epoch, the owner first.
     pub ranked: Vec<member::Key>,
 }
 
 impl Allotment {
-    /// Returns the allotment of a node that knows no table: nothing.
+    /// Returns the empty allotment, of a node that knows no membership table.
     #[must_use]
     pub fn none() -> Self {
         Self { share: 0, usable: 0, ranked: Vec::new() }
@@ -50,7 +51,7 @@
 
 /// Computes the allotment of `me` at an upstream with `slots`.
 ///
-/// `settled` returns the lowest epoch that a node may still act on, as far as is known.
+/// `settled` returns the lowest epoch that a node may still act on, as far as this node knows.
 pub fn compute(
     table: &table::Table,
     me: &member::Key,
@@ -63,15 +64,15 @@
     let nodes: Vec<(&member::Key, epoch::Epoch)> = nodes.map(|k| (k, settled(k))).collect();
     let others = nodes.iter().filter(|(key, _)| *key != me);
     let lowest = others.clone().map(|(_, s)| *s).min().unwrap_or(table.epoch).min(table.epoch);
-    let reserved: u32 = others.map(|(key, since)| greatest(&epochs, key, *since)).sum();
+    let reserved: u32 = others.map(|(key, since)| max_share(&epochs, key, *since)).sum();
     let newest = epochs.last();
     let share = newest.map_or(0, |e| e.share(me));
     let window = epochs.iter().filter(|e| e.epoch >= lowest);
     let floor = window.map(|e| e.share(me)).min().unwrap_or(0);
-    let room = slots.saturating_sub(reserved);
+    let remainder = slots.saturating_sub(reserved);
     Allotment {
         share,
-        usable: share.min(floor.max(room)),
+        usable: share.min(floor.max(remainder)),
         ranked: newest.map_or(Vec::new(), |e| e.shares.iter().map(|(k, _)| k.clone()).collect()),
     }
 }
@@ -100,13 +101,14 @@
     upstream: &upstream::Key,
     slots: u32,
 ) -> Shares {
-    let ranked = rendezvous::top(upstream, keys);
+    let ranked = rendezvous::rank(upstream, keys);
     let ranks = ranked.len();
     let shares = ranked.into_iter().enumerate();
-    let shares = shares.map(|(rank, key)| (key.clone(), share::of(slots, rank, ranks))).collect();
+    let shares =
+        shares.map(|(rank, key)| (key.clone(), share::of_rank(slots, rank, ranks))).collect();
     Shares { epoch, shares }
 }
 
-fn greatest(epochs: &[Shares], key: &member::Key, since: epoch::Epoch) -> u32 {
+fn max_share(epochs: &[Shares], key: &member::Key, since: epoch::Epoch) -> u32 {
     epochs.iter().filter(|e| e.epoch >= since).map(|e| e.share(key)).max().unwrap_or(0)
 }
--- a/crates/steer/src/ownership/budget.rs
+++ b/crates/steer/src/ownership/budget.rs
@@ -1,14 +1,14 @@
-//! Retry budgets: second tries are a fraction of first tries.
+//! Retry budgets: limit retries to a fraction of the requests.
 //!
-//! Owns the tokens of one service at one node. Spent by [`retry`](crate::ownership::retry).
+//! Each node has a token bucket per service; [`retry`](crate::ownership::retry) takes the tokens.
 
-/// Second tries allowed for each first try. Not measured; the bound that docs/DESIGN.md gives.
+/// Tokens added per request: the ratio of retries to requests given in docs/DESIGN.md.
 const RATIO: f64 = 0.1;
 
-/// Most second tries that may be saved up. Not measured; for a node that dies with its requests.
+/// Maximum tokens, to retry the requests of a node that fails.
 const MOST: f64 = 10.0;
 
-/// Second tries that a node starts with. Not measured.
+/// Initial tokens.
 const INITIAL: f64 = MOST / 2.0;
 
 /// The retry budget of one service at one node.
@@ -18,18 +18,18 @@
 }
 
 impl Budget {
-    /// Makes a budget that starts with `INITIAL` second tries.
+    /// Creates a budget of `INITIAL` tokens.
     #[must_use]
     pub fn new() -> Self {
         Self { tokens: INITIAL }
     }
 
-    /// Records a first try.
+    /// Adds the tokens of a new request.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + RATIO).min(MOST);
     }
 
-    /// Takes one second try out; returns false when none is left.
+    /// Takes a token for a retry; returns whether there was one.
     pub fn spend(&mut self) -> bool {
         match self.tokens >= 1.0 {
             true => {
--- a/crates/steer/src/ownership/core/adoption.rs
+++ b/crates/steer/src/ownership/core/adoption.rs
@@ -1,7 +1,7 @@
-//! Adoption: configurations, tables and the VM list, which never give way to older ones.
+//! Adoption: applies configurations, membership tables and the VM list, and recomputes owners and
+//! allotments after a change.
 //!
-//! Owns when owners and allotments are computed anew. Relies on [`members`] for who is alive and for
-//! the epochs that nodes have settled on.
+//! Configurations and tables are never replaced by older ones.
 
 use std::sync;
 use std::time::Instant;
@@ -16,7 +16,7 @@
 use crate::ownership::vms;
 
 impl Core {
-    /// Adopts a configuration, unless it is older than the present one.
+    /// Adopts a configuration if it is newer than the current one.
     pub(super) fn configure(&mut self, snapshot: sync::Arc<snapshot::Snapshot>) {
         if snapshot.revision <= self.snapshot.revision {
             return;
@@ -24,11 +24,11 @@
         self.owner.configure(&snapshot, &self.me.region);
         self.me.revision = snapshot.revision;
         self.snapshot = snapshot;
-        self.owner.drain(&self.snapshot, &self.vms, self.wall);
+        self.owner.update_drains(&self.snapshot, &self.vms, self.wall);
         self.is_stale = true;
     }
 
-    /// Adopts a region's table, unless it is older than the known one.
+    /// Adopts a region's table if it is newer than the known one.
     pub(super) fn adopt(&mut self, table: sync::Arc<table::Table>, is_stored: bool) {
         let is_own = table.region == self.me.region;
         self.has_stored_table |= is_own && is_stored;
@@ -46,10 +46,11 @@
 
     pub(super) fn apply_vms(&mut self, list: vms::List) {
         self.vms = list;
-        self.owner.drain(&self.snapshot, &self.vms, self.wall);
+        self.owner.update_drains(&self.snapshot, &self.vms, self.wall);
     }
 
-    /// Brings owners and allotments up to date when a table, a configuration or the living changed.
+    /// Recomputes the allotments, and the owners if a table, the configuration or the set of live nodes
+    /// changed.
     pub(super) fn refresh(&mut self, now: Instant) {
         let alive: Vec<member::Key> =
             self.members.alive(now).map(|k| k.member.key.clone()).collect();
@@ -64,18 +65,19 @@
             };
             self.router.find_owners(&self.snapshot, &self.tables, &is_alive);
         }
-        self.assign();
+        self.update_allotments();
     }
 
-    fn assign(&mut self) {
+    fn update_allotments(&mut self) {
         let Some(table) = self.tables.get(&self.me.region) else { return };
         let members = &self.members;
         let settled = |key: &member::Key| settled(table, members, key);
-        self.owner.assign(table, &self.me.key, &settled);
+        self.owner.update_allotments(table, &self.me.key, &settled);
     }
 }
 
-/// Returns the lowest epoch that a node may still act on, by the table and by its own description.
+/// Returns the lowest epoch that a node may still act on, according to the table and to the node's own
+/// description.
 fn settled(table: &table::Table, members: &members::Members, key: &member::Key) -> epoch::Epoch {
     let listed = table.find(key).map(|s| s.settled);
     let departed = table.departed.iter().find(|d| d.key == *key).map(|d| d.settled);
--- a/crates/steer/src/ownership/core/exchange.rs
+++ b/crates/steer/src/ownership/core/exchange.rs
@@ -1,7 +1,7 @@
-//! Exchange: heartbeats made, answered and applied.
+//! Exchange: creates, answers and applies heartbeats.
 //!
-//! Owns what a heartbeat carries and the bounds of a message. Relies on [`Peering`](crate::ownership::peering::Peering)
-//! for when each peer was last updated, and on the owner for leases.
+//! A heartbeat carries only what changed since the peer was last updated, which
+//! [`Peering`](crate::ownership::peering::Peering) records.
 
 use std::collections;
 use std::sync;
@@ -17,15 +17,16 @@
 use crate::ownership::lease;
 use crate::ownership::owner;
 
-/// Most members in one message, the latest first: the whole target fleet, for a node that starts.
+/// Maximum members in one message, the latest first: enough to describe a fleet of the target size to a
+/// node that starts.
 const MOST_MEMBERS: usize = 512;
 
-/// Most summaries of owners in one message, the latest first. Not measured; docs/CAPACITY.md says
-/// what gives way at it.
+/// Maximum summaries of owners in one message, the latest first. docs/CAPACITY.md describes what happens
+/// beyond it.
 const MOST_SUMMARIES: usize = 256;
 
 impl Core {
-    /// Makes the heartbeat to `node`, or to a seed whose node is not known yet.
+    /// Creates the heartbeat to `node`, or to a seed whose node is not known yet if `None`.
     pub(super) fn make_heartbeat(
         &mut self,
         node: Option<&id::Node>,
@@ -34,7 +35,7 @@
         let member = node.and_then(|n| self.members.get(n)).map(|k| &k.member);
         let region = member.map(|m| m.region.clone());
         let key = member.map(|m| m.key.clone());
-        let held = key.map_or(Vec::new(), |key| self.owner.still_held(&self.me.key, &key));
+        let held = key.map_or(Vec::new(), |key| self.owner.leases_still_in_use(&self.me.key, &key));
         let since = node.and_then(|n| self.peering.mark_updated(n, now));
         heartbeat::Request {
             sender: self.me.clone(),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Answers a peer's heartbeat.
+    /// Applies a peer's heartbeat and returns the reply.
     pub(super) fn answer(
         &mut self,
         request: &heartbeat::Request,
@@ -55,9 +56,9 @@
     ) -> heartbeat::Reply {
         let sender = &request.sender;
         self.apply(sender, &request.update, now, out);
-        // Both must act on one table, or the two would disagree about who the owner is.
-        let is_one_table = sender.region == self.me.region && sender.epoch == self.me.epoch;
-        let leases = match is_one_table {
+        // With different tables the two nodes could disagree about the owner.
+        let has_same_epoch = sender.region == self.me.region && sender.epoch == self.me.epoch;
+        let leases = match has_same_epoch {
             true => {
                 self.owner.reclaim(&sender.key, &request.held);
                 self.owner.grant(&sender.key, now)
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Applies the reply to a heartbeat that was made at `sent`.
+    /// Applies the reply to a heartbeat that was sent at `sent`.
     pub(super) fn replied(
         &mut self,
         reply: &heartbeat::Reply,
@@ -89,19 +90,19 @@
         let sender = &reply.sender;
         self.apply(sender, &reply.update, now, out);
         for position in &reply.positions {
-            self.router.adopt(position);
+            self.router.adopt_position(position);
         }
         self.has_positions |= !reply.positions.is_empty();
-        // A lease is granted to the owner of that epoch; by now this node may be owner no more.
-        let is_one_table = self.peering.epoch_at(sent) == self.me.epoch;
-        if sender.region == self.me.region && is_one_table {
+        // The lease was granted to the owner of the epoch at `sent`, which this node may no longer be.
+        let has_same_epoch = self.peering.epoch_at(sent) == self.me.epoch;
+        if sender.region == self.me.region && has_same_epoch {
             let (leases, term) = (&reply.leases, reply.term);
             let grant = lease::Grant { grantor: &sender.key, leases, term, asked: sent };
             self.owner.hold_leases(&self.me.key, &grant);
         }
     }
 
-    /// Applies what a peer describes of itself and of others.
+    /// Applies a peer's description of itself and its update about other nodes.
     fn apply(
         &mut self,
         sender: &heartbeat::Member,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Returns what changed after `since`, for a node of region `to` that knows tables of the epochs
+    /// Returns the changes after `since`, for a node of region `to` that knows the tables of the epochs
     /// `known`.
     fn update(
         &self,
@@ -150,7 +151,7 @@
             })
         };
         let changes = self.members.changes(since, MOST_MEMBERS);
-        // Only the own region learns of single nodes' liveness and of single owners.
+        // Liveness of single nodes and summaries of single owners are sent only within the region.
         let (liveness, summaries) = match to == Some(&self.me.region) {
             true => (changes.liveness, self.router.summaries.changes(since, MOST_SUMMARIES)),
             false => (Vec::new(), Vec::new()),
--- a/crates/steer/src/ownership/core/mod.rs
+++ b/crates/steer/src/ownership/core/mod.rs
@@ -1,11 +1,11 @@
-//! The core: one node's decisions, driven by events.
+//! The core: the event-driven decisions of one node.
 //!
-//! Owns all that a node decides with: its configuration, the regions' tables, the known nodes, its
-//! work as an [`owner`] of upstreams and as an entry ([`router`]). Performs no input or output and
-//! reads no clock: an event and a time go in, actions come out.
+//! Holds the configuration, the regions' membership tables, the known nodes, the node's upstreams
+//! ([`owner`]) and the requests that it routes ([`router`]). It performs no I/O and reads no clock: each
+//! event is passed with a time, and results in actions.
 //!
-//! `adoption` applies configurations and tables, `exchange` makes and answers heartbeats,
-//! `upkeep` does what is done with every heartbeat.
+//! `adoption` applies configurations and tables, `exchange` creates and answers heartbeats, and `upkeep`
+//! does the periodic work.
 
 mod adoption;
 mod exchange;
@@ -37,9 +37,8 @@
 
 pub use upkeep::HEARTBEAT_PERIOD;
 
-/// Time for which a starting node waits for peers before it believes that there are none.
-///
-/// Not measured; four heartbeats of a peer.
+/// Time for which a starting node waits for peers before it assumes that there are none: four
+/// heartbeats of a peer.
 const DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
 /// The decisions of one node.
@@ -65,13 +64,13 @@
     last_heartbeat: Option<Instant>,
     has_positions: bool,
     has_stored_table: bool,
-    /// Whether a table or a configuration came that owners and allotments do not follow yet.
+    /// Whether owners and allotments must be recomputed for a new table or configuration.
     is_stale: bool,
     alive: Vec<member::Key>,
 }
 
 impl Core {
-    /// Makes the core of a node that starts now.
+    /// Creates the core of a node that starts at `now`.
     #[must_use]
     pub fn new(
         me: heartbeat::Member,
@@ -100,7 +99,7 @@
         }
     }
 
-    /// Applies an event and pushes what is to be done.
+    /// Handles an event and pushes the resulting actions to `out`.
     pub fn handle(&mut self, event: event::Event, now: Instant, out: &mut Vec<action::Action>) {
         match event {
             event::Event::Configure { snapshot } => self.configure(snapshot),
@@ -126,10 +125,10 @@
             }
             event::Event::Withdraw { request } => self.owner.withdraw(request, now, out),
             event::Event::Probed { upstream, report } => {
-                self.owner.probed(&upstream, report.as_ref());
+                self.owner.record_probe(&upstream, report.as_ref());
             }
             event::Event::Said { upstream, statement } => {
-                self.owner.said(&upstream, &statement, now)
+                self.owner.record_statement(&upstream, &statement, now)
             }
             event::Event::Heartbeat { heartbeat } => {
                 let reply = Box::new(self.answer(&heartbeat, now, out));
@@ -140,7 +139,7 @@
             event::Event::Stop => self.me.is_leaving = true,
             event::Event::Tick { wall } => self.tick(wall, now, out),
         }
-        // Allotments and owners must never lag behind the epoch and revision this node claims.
+        // Allotments and owners must match the epoch and revision that this node reports to its peers.
         if self.is_stale {
             self.refresh(now);
         }
@@ -153,7 +152,7 @@
         self.snapshot.revision > revision::Revision(0) && is_informed
     }
 
-    /// Returns whether a stopping node has handed everything over.
+    /// Returns whether a stopping node is off its region's table and has no requests left.
     #[must_use]
     pub fn is_done(&self) -> bool {
         let table = self.tables.get(&self.me.region);
@@ -161,14 +160,14 @@
         !listed && self.owner.load() == 0 && self.router.load() == 0
     }
 
-    /// Returns the nodes that hold a lower revision than this one, by name.
+    /// Returns the live nodes whose configuration is older than `revision`, by name.
     #[must_use]
     pub fn lagging(&self, revision: revision::Revision, now: Instant) -> Vec<id::Node> {
         let alive = self.members.alive(now).map(|k| &k.member);
         alive.filter(|m| m.revision < revision).map(|m| m.key.node.clone()).collect()
     }
 
-    /// Returns the slots in use by each service in each region.
+    /// Returns the slots in use by service and region.
     #[must_use]
     pub fn in_use(
         &self,
@@ -183,7 +182,7 @@
         in_use
     }
 
-    /// Returns what the planner would work from now, by service.
+    /// Returns the planner's current measurements, by service.
     #[must_use]
     pub fn measured(&self, now: Instant) -> collections::BTreeMap<id::Service, router::Measured> {
         self.with_view(now, |view| {
@@ -192,13 +191,13 @@
         })
     }
 
-    /// Returns whether a node may be given work; this one always may.
+    /// Returns whether a node may get requests; this node always may.
     #[must_use]
     pub fn is_alive(&self, key: &member::Key, now: Instant) -> bool {
         *key == self.me.key || self.members.incarnation(key).is_some_and(|k| k.is_alive(now))
     }
 
-    /// Returns whether it has waited long enough for peers to believe that silent ones are not there.
+    /// Returns whether this node has waited long enough for peers to make themselves known.
     fn has_discovered(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.started) >= DISCOVERY_TIME
     }
@@ -214,9 +213,9 @@
         }
     }
 
-    /// Stops giving work to an owner that could not be reached, until it is seen again.
+    /// Stops sending requests to an owner that could not be reached, until it is seen again.
     ///
-    /// It has nothing outstanding, so it would look like the least loaded of all.
+    /// Without outstanding requests it would otherwise be selected as the least loaded.
     fn suspect_unready(&mut self, request: request::Id, failure: verdict::Failure, now: Instant) {
         match self.router.owner_of(request).cloned() {
             Some(owner) if failure.reason == verdict::Reason::NotReady => {
@@ -226,7 +225,7 @@
         }
     }
 
-    /// Suspects a node that did not answer.
+    /// Records that a node did not answer, so that it gets no new requests.
     fn unanswered(&mut self, node: &id::Node, now: Instant) {
         self.members.record_failure(node, now);
         self.refresh(now);
@@ -242,7 +241,7 @@
         self.router = router;
     }
 
-    /// Shows what routing and planning read.
+    /// Calls `look` with the state that routing and planning read.
     fn with_view<T>(&self, now: Instant, look: impl FnOnce(&router::View<'_>) -> T) -> T {
         let is_lost = |region: &id::Region| self.members.is_lost(region, now);
         look(&router::View {
--- a/crates/steer/src/ownership/core/upkeep.rs
+++ b/crates/steer/src/ownership/core/upkeep.rs
@@ -1,7 +1,4 @@
-//! Upkeep: what is done with every tick, and with every heartbeat.
-//!
-//! Owns the period of heartbeats. Relies on [`maintenance`] for the region's table, on the router for
-//! plans and on peering for whom to send heartbeats to.
+//! Upkeep: the periodic work of each tick and each heartbeat.
 
 use std::sync;
 use std::time::{Duration, Instant, SystemTime};
@@ -14,12 +11,10 @@
 use crate::ownership::maintenance;
 use crate::ownership::owner;
 
-/// Time between two heartbeats of a node.
-///
-/// Its cost is measured: docs/measurements/scale.md. Other periods were not.
+/// Time between two heartbeats of a node; its cost is given in docs/measurements/scale.md.
 pub const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
 
-/// Heartbeats between two summaries of an owner; its use is reported with every answer too.
+/// Heartbeats per summary of an owner. Every answer reports the owner's usage as well.
 const SUMMARY_EVERY: u64 = 2;
 
 impl Core {
@@ -33,15 +28,15 @@
         }
     }
 
-    /// Does what is done with every heartbeat.
+    /// Updates this node's state and plans, and sends the heartbeats that are due.
     fn heartbeat(&mut self, now: Instant, out: &mut Vec<action::Action>) {
         self.me.sequence += 1;
-        self.owner.drain(&self.snapshot, &self.vms, self.wall);
-        self.owner.roll(now);
+        self.owner.update_drains(&self.snapshot, &self.vms, self.wall);
+        self.owner.update_rates(now);
         self.refresh(now);
         self.settle(now);
         self.members.record(&self.me, now);
-        self.members.forget(now);
+        self.members.expire(now);
         let sequence = self.me.sequence;
         if sequence.is_multiple_of(SUMMARY_EVERY) {
             for summary in self.owner.summaries(&self.me.key, &self.me.region, sequence, now) {
@@ -56,16 +51,16 @@
         self.send_heartbeats(now, out);
     }
 
-    /// Gives older shares up, once nothing is in use beyond the newest.
+    /// Marks the current epoch as settled once no slots beyond its shares are in use.
     fn settle(&mut self, now: Instant) {
         if self.owner.is_settled(now) {
             self.me.settled = self.me.epoch;
         }
     }
 
-    /// Proposes a new table of the region, when it is this node's turn.
+    /// Proposes a new table of the region if one is needed and it is this node's turn.
     fn propose(&mut self, now: Instant, out: &mut Vec<action::Action>) {
-        // Without having read the store, a table made up here would only lose the race.
+        // A proposal not based on the stored table would fail its compare-and-swap.
         if !self.has_stored_table || !self.has_discovered(now) {
             return;
         }
@@ -84,7 +79,7 @@
         }
     }
 
-    /// Returns the time after which nothing that was started before can still run.
+    /// Returns the time after which no request started before can still be running.
     fn tail(&self) -> Duration {
         let services = self.snapshot.services.values();
         let longest = services.map(|s| s.spec.deadline).max().unwrap_or_default();
--- a/crates/steer/src/ownership/event.rs
+++ b/crates/steer/src/ownership/event.rs
@@ -1,6 +1,4 @@
-//! Events: what happened outside, as the decisions take it.
-//!
-//! Owns the closed set of inputs of [`Core`](crate::ownership::core::Core). Relies on nothing.
+//! Events: the inputs of [`Core`](crate::ownership::core::Core).
 
 use std::sync;
 use std::time::{Instant, SystemTime};
@@ -18,27 +16,27 @@
 use crate::ownership::vms;
 use model::upstream;
 
-/// Something that happened.
+/// An input of the core.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A configuration became known.
+    /// A configuration was read or fetched.
     Configure {
         /// The configuration.
         snapshot: sync::Arc<snapshot::Snapshot>,
     },
-    /// A region's table became known.
+    /// A region's membership table was received.
     Adopt {
         /// The table.
         table: sync::Arc<table::Table>,
-        /// Whether it came from the store itself.
+        /// Whether it was read from the store, not received from a peer.
         is_stored: bool,
     },
-    /// The VM list became known.
+    /// The VM list was read.
     Vms {
         /// The list.
         list: vms::List,
     },
-    /// A caller's request wants a region and an owner.
+    /// A caller's request is to be routed to a region and an owner.
     Route {
         /// The request.
         request: request::Id,
@@ -46,7 +44,7 @@
         service: id::Service,
         /// The caller's place.
         place: id::Place,
-        /// The region, when the caller's entry has chosen it already.
+        /// The region, if the node that received the request from the caller has selected it already.
         region: Option<id::Region>,
     },
     /// A routed request was answered, or its caller gave up.
@@ -54,7 +52,7 @@
         /// The request.
         request: request::Id,
     },
-    /// An owner reported how much of its slots a service uses.
+    /// An owner reported its usage for a service.
     Used {
         /// The owner.
         owner: id::Node,
@@ -63,28 +61,28 @@
         /// The report.
         usage: heartbeat::Usage,
     },
-    /// A routed request failed at its owner; it is routed again, or refused.
+    /// A routed request failed at its owner; it is retried or refused.
     Failed {
         /// The request.
         request: request::Id,
-        /// How it failed.
+        /// The failure.
         failure: verdict::Failure,
-        /// When it may be sent a second time.
+        /// When it may be retried.
         repetition: service::RetryPolicy,
     },
-    /// A request wants a slot here.
+    /// A request needs a slot at this node.
     Offer {
         /// The request.
         offer: request::Offer,
     },
-    /// A request that ran here ended.
+    /// A request that this node ran ended.
     Done {
         /// The request.
         request: request::Id,
-        /// How.
+        /// Its outcome.
         outcome: request::Outcome,
     },
-    /// The caller of an offered request gave up before it ran.
+    /// The caller of an offered request gave up before it was sent to an upstream.
     Withdraw {
         /// The request.
         request: request::Id,
@@ -93,14 +91,14 @@
     Probed {
         /// The upstream.
         upstream: upstream::Key,
-        /// What it said; none when it did not answer.
+        /// Its report; `None` if it did not answer.
         report: Option<report::Report>,
     },
-    /// An upstream said something of itself in an answer.
+    /// An upstream made a statement about itself in an answer.
     Said {
         /// The upstream.
         upstream: upstream::Key,
-        /// What it said.
+        /// The statement.
         statement: statement::Statement,
     },
     /// A peer's heartbeat arrived.
@@ -110,7 +108,7 @@
     },
     /// A peer answered a heartbeat.
     Replied {
-        /// The answer.
+        /// The reply.
         reply: Box<heartbeat::Reply>,
         /// When the heartbeat was sent.
         sent: Instant,
@@ -120,11 +118,11 @@
         /// The peer.
         node: id::Node,
     },
-    /// The process is to stop.
+    /// The process is asked to stop.
     Stop,
     /// Time passed.
     Tick {
-        /// The time of day.
+        /// The wall-clock time.
         wall: SystemTime,
     },
 }
--- a/crates/steer/src/ownership/health.rs
+++ b/crates/steer/src/ownership/health.rs
@@ -1,8 +1,7 @@
-//! Health: whether probes and outcomes allow new work at an upstream.
+//! Health: decides from probes and request outcomes whether an upstream may get new requests.
 //!
-//! Ejects an outlier after some failures in a row, for a time that doubles. Reports may lag or mislead,
-//! so they can only lower the limit: a good report never raises what the owner would do without it.
-//! Owns the counts. Relies on nothing.
+//! An upstream is ejected after `FAILURES` consecutive failures, for a time that doubles with each
+//! ejection. Reports may be stale or wrong, so they can only lower the limit of slots, never raise it.
 
 use std::time::{Duration, Instant};
 
@@ -12,19 +11,19 @@
 
 use crate::ownership::report;
 
-/// Failures in a row after which an upstream is ejected. Not measured.
+/// Consecutive failures after which an upstream is ejected.
 const FAILURES: u32 = 3;
 
-/// Time of the first ejection; it doubles up to [`LONGEST_EJECTION`]. Not measured.
+/// Duration of the first ejection; it doubles up to [`LONGEST_EJECTION`].
 const FIRST_EJECTION: Duration = Duration::from_secs(1);
 
-/// Longest ejection. Not measured.
+/// Maximum duration of an ejection.
 const LONGEST_EJECTION: Duration = Duration::from_secs(30);
 
-/// Unanswered probes in a row after which an upstream gets no new work. Not measured; three seconds.
+/// Consecutive unanswered probes, three seconds of them, after which an upstream gets no new requests.
 const MISSED_PROBES: u32 = 3;
 
-/// Failures, probes and reports of one upstream.
+/// Failures, probe results and statements of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     failures: u32,
@@ -34,36 +33,36 @@
     reported_slots: Option<u32>,
     uptime_ms: Option<u64>,
     is_leaving: bool,
-    /// Whether it said in an answer that it leaves; holds until a probe shows that it started again.
-    says_leaving: bool,
-    /// When it has rested; none before it asks for rest.
+    /// Whether it announced in an answer that it is leaving; reset when a probe shows a restart.
+    announced_leaving: bool,
+    /// End of the rest that it asked for; `None` if it never did.
     rests_until: Option<Instant>,
 }
 
 impl Health {
-    /// Returns whether new work may be sent at `now`.
+    /// Returns whether new requests may be sent at `now`.
     #[must_use]
     pub fn is_usable(&self, now: Instant) -> bool {
         let is_ejected = self.ejected_until.is_some_and(|until| now < until);
         let is_resting = self.rests_until.is_some_and(|until| now < until);
-        let leaves = self.is_leaving || self.says_leaving;
+        let leaves = self.is_leaving || self.announced_leaving;
         !is_ejected && !is_resting && !leaves && self.missed_probes < MISSED_PROBES
     }
 
-    /// Returns the most slots the upstream's own report leaves, of `slots`.
+    /// Returns the slots that the upstream last reported, at most `slots`.
     #[must_use]
     pub fn limit(&self, slots: u32) -> u32 {
         self.reported_slots.unwrap_or(slots).min(slots)
     }
 
-    /// Records an answer.
-    pub fn succeeded(&mut self) {
+    /// Records an answered request, which resets the failures and the duration of ejections.
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.ejections = 0;
     }
 
-    /// Records a failure; the upstream may be ejected from `now` on.
-    pub fn failed(&mut self, now: Instant) {
+    /// Records a failed request, and ejects the upstream after too many of them.
+    pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
         if self.failures < FAILURES {
             return;
@@ -71,21 +70,21 @@
         let ejection = FIRST_EJECTION * 2_u32.saturating_pow(self.ejections.min(8));
         self.ejected_until = Some(now + ejection.min(LONGEST_EJECTION));
         self.ejections += 1;
-        // After the ejection one more failure ejects it again.
+        // After the ejection, a single failure ejects the upstream again.
         self.failures = FAILURES - 1;
     }
 
-    /// Records what it said of itself in an answer. A rest that asks for less does not shorten an earlier one.
-    pub fn said(&mut self, statement: &statement::Statement, now: Instant) {
-        self.says_leaving |= statement.leaving == leaving::Field::Leaving;
+    /// Records the statement of an answer. A rest that would end earlier does not shorten the current one.
+    pub fn record_statement(&mut self, statement: &statement::Statement, now: Instant) {
+        self.announced_leaving |= statement.leaving == leaving::Field::Leaving;
         if let rest::Field::Rest(rest) = statement.rest {
             let until = now + rest;
             self.rests_until = Some(self.rests_until.map_or(until, |before| before.max(until)));
         }
     }
 
-    /// Records the outcome of a probe; returns whether the upstream was restarted since the last.
-    pub fn probed(&mut self, report: Option<&report::Report>) -> bool {
+    /// Records the result of a probe; returns whether the upstream restarted since the previous one.
+    pub fn record_probe(&mut self, report: Option<&report::Report>) -> bool {
         let Some(report) = report else {
             self.missed_probes = self.missed_probes.saturating_add(1);
             return false;
@@ -96,7 +95,7 @@
         self.is_leaving = report.draining;
         self.uptime_ms = report.uptime_ms;
         if restarted {
-            (self.says_leaving, self.rests_until) = (false, None);
+            (self.announced_leaving, self.rests_until) = (false, None);
         }
         restarted
     }
--- a/crates/steer/src/ownership/heartbeat.rs
+++ b/crates/steer/src/ownership/heartbeat.rs
@@ -1,7 +1,6 @@
 //! Heartbeats: the messages of an exchange between two nodes.
 //!
-//! Owns their form inside the process; `node::owner::peers` translates it to the wire. Relies on nothing
-//! but ids and tables.
+//! `node::owner::peers` converts them to their form on the wire.
 
 use std::collections;
 use std::net;
@@ -17,37 +16,37 @@
 use crate::common::split;
 use model::upstream;
 
-/// One node as it describes itself.
+/// A node's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Which incarnation of which node.
+    /// The node and its incarnation.
     pub key: member::Key,
     /// Its region.
     pub region: id::Region,
     /// Its hall.
     pub hall: id::Hall,
-    /// Where it listens for callers.
+    /// The address it listens on for callers.
     pub callers: net::SocketAddr,
-    /// Where it listens for peers.
+    /// The address it listens on for peers.
     pub peers: net::SocketAddr,
-    /// Where it listens for operators.
+    /// The address it listens on for operators.
     pub operators: net::SocketAddr,
-    /// Grows with each heartbeat of that incarnation.
+    /// Increases with each heartbeat of the incarnation.
     pub sequence: u64,
-    /// The configuration it acts on.
+    /// The revision of the configuration it acts on.
     pub revision: revision::Revision,
-    /// The table it acts on.
+    /// The epoch of the table it acts on.
     pub epoch: epoch::Epoch,
     /// The lowest epoch whose shares it may still use.
     pub settled: epoch::Epoch,
-    /// Whether it is stopping and wants no new callers.
+    /// Whether it is stopping and accepts no new callers.
     pub is_leaving: bool,
 }
 
-/// The state of one service at one owner, or summed over a region.
+/// The state of one service at one owner, or the sum over a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
-    /// The owner, or the node that summed a region up.
+    /// The owner, or the node that made the summary of a region.
     pub key: member::Key,
     /// Its region.
     pub region: id::Region,
@@ -55,37 +54,38 @@
     pub service: id::Service,
     /// Orders the summaries of one owner or region.
     pub sequence: u64,
-    /// Slots it would use now.
+    /// Usable slots.
     pub usable: u32,
     /// Slots in use.
     pub in_flight: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: u32,
-    /// Requests a second from each place, in thousandths.
+    /// Arrival rate from each place, in thousandths of a request per second.
     pub rates: Vec<(id::Place, u32)>,
 }
 
-/// How much of its slots a service uses at one owner, sent with every answer.
+/// The usage of a service's slots at one owner, sent with every answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Requests that hold a slot or wait for one.
+    /// Requests that occupy a slot or wait for one.
     pub busy: u32,
-    /// Slots that may be used now.
+    /// Usable slots, whether free or in use.
     pub usable: u32,
 }
 
-/// Slots of one upstream that the sender grants and does not use for a while.
+/// A lease of slots of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// The upstream.
     pub upstream: upstream::Key,
     /// The slots.
     pub slots: u32,
-    /// Time after the lease's term in which work on it must end: its service's deadline.
+    /// Time after the lease's term by which requests on it must have ended: the service's deadline and
+    /// the grace after a cancellation.
     pub tail: Duration,
 }
 
-/// Where one split stands at the sender.
+/// The current split of one service and place at the sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Position {
     /// The service.
@@ -101,15 +101,15 @@
 pub struct Request {
     /// The sender.
     pub sender: Member,
-    /// What it knows of others, as far as it changed.
+    /// What it knows of other nodes, as far as it changed.
     pub update: Update,
-    /// The newest tables it knows, by region.
+    /// The epochs of the newest tables it knows, by region.
     pub epochs: collections::BTreeMap<id::Region, epoch::Epoch>,
-    /// Whether it asks for the receiver's slots of the upstreams that it owns.
+    /// Whether it requests leases of the receiver's slots at the upstreams that it owns.
     pub wants_leases: bool,
     /// Leases in use for upstreams that it no longer owns.
     pub held: Vec<Lease>,
-    /// Whether it asks for the positions of the receiver's splits.
+    /// Whether it requests the receiver's current splits.
     pub wants_positions: bool,
 }
 
@@ -118,36 +118,36 @@
 pub struct Reply {
     /// The node that replies.
     pub sender: Member,
-    /// What it knows of others, as far as it changed.
+    /// What it knows of other nodes, as far as it changed.
     pub update: Update,
     /// The leases that it grants.
     pub leases: Vec<Lease>,
-    /// Time in which work may start on the leases.
+    /// Time in which requests may start on the leases.
     pub term: Duration,
-    /// Where its splits stand, when asked.
+    /// Its current splits, if requested.
     pub positions: Vec<Position>,
 }
 
 /// The liveness counter of a member whose description the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Liveness {
-    /// Which incarnation of which node.
+    /// The node and its incarnation.
     pub key: member::Key,
-    /// The number of its latest heartbeat.
+    /// The sequence number of its latest heartbeat.
     pub sequence: u64,
 }
 
-/// What changed since the receiver was last updated.
+/// The changes since the receiver was last updated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
     /// Members whose descriptions changed.
     pub members: Vec<Member>,
-    /// Members of the region that sender and receiver share, whose counters advanced.
+    /// Members of the common region of sender and receiver, whose liveness counters advanced.
     pub liveness: Vec<Liveness>,
-    /// Summaries of owners of the region that sender and receiver share.
+    /// Summaries of owners in the common region of sender and receiver.
     pub summaries: Vec<Summary>,
     /// Summaries of whole regions.
     pub regions: Vec<Summary>,
-    /// Tables that the other does not have.
+    /// Tables that the receiver does not have.
     pub tables: Vec<sync::Arc<table::Table>>,
 }
--- a/crates/steer/src/ownership/lease.rs
+++ b/crates/steer/src/ownership/lease.rs
@@ -1,12 +1,11 @@
-//! Leases: slots of one upstream that a node grants to another for a time and does not use itself.
+//! Leases: slots of one upstream that a node grants to another for a limited time.
 //!
-//! While heartbeats pass, every ranked node grants its share to the owner, which then holds all slots and
-//! counts them exactly. A lease ends by itself, by both clocks: the holder counts from when it asked,
-//! the grantor from when it answered, which is later. So an owner that is paused or cut off cannot use
-//! the share of a node that carries on without it.
+//! Every ranked node grants its share to the owner in reply to heartbeats, so that the owner can use all
+//! slots and counts them exactly. The grantor does not use the slots in the meantime. A lease expires on
+//! both sides: the holder counts its term from the request, the grantor from the reply, which is later.
+//! An owner that is paused or partitioned therefore cannot use slots that the grantor uses again.
 //!
-//! Owns both sides' time limits. Relies on heartbeats to renew them; docs/DECISIONS.md weighs it against
-//! leases in the store.
+//! Heartbeats renew leases; docs/DECISIONS.md compares this with leases in the store.
 
 use std::time::{Duration, Instant};
 
@@ -14,32 +13,32 @@
 
 use crate::ownership::heartbeat;
 
-/// The leases of one reply.
+/// The leases of one heartbeat reply.
 #[derive(Clone, Copy, Debug)]
 pub struct Grant<'a> {
     /// The node that granted them.
     pub grantor: &'a member::Key,
-    /// The leases.
+    /// The leases, one per upstream.
     pub leases: &'a [heartbeat::Lease],
-    /// Time in which work may start on them.
+    /// Time in which requests may start on them.
     pub term: Duration,
-    /// When they were asked for, which is before the grantor began to count.
+    /// When they were requested, which is before the grantor's term began.
     pub asked: Instant,
 }
 
-/// How long a lease may be used.
+/// Time limits of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// Time in which work may start on it.
+    /// Time in which requests may start on it.
     pub term: Duration,
-    /// Time after that in which such work must have ended.
+    /// Time after `term` by which those requests must have ended.
     pub tail: Duration,
 }
 
-/// Slots that another node granted to this one.
+/// A lease that another node granted to this one.
 #[derive(Clone, Debug, Default)]
 pub struct Held {
-    /// Requests that hold a slot of this lease.
+    /// Requests that occupy a slot of this lease.
     pub running: u32,
     slots: u32,
     asked: Option<Instant>,
@@ -48,7 +47,7 @@
 }
 
 impl Held {
-    /// Renews the lease; a grant that was asked for earlier than the last is ignored.
+    /// Renews the lease. A grant that was requested before the current one is ignored.
     pub fn renew(&mut self, slots: u32, asked: Instant, terms: Terms) {
         if self.asked.is_some_and(|before| asked < before) {
             return;
@@ -59,14 +58,14 @@
         self.ends_by = Some(asked + terms.term + terms.tail);
     }
 
-    /// Returns whether a request with this deadline may start.
+    /// Returns whether a slot is free and a request with this deadline ends in time.
     #[must_use]
-    pub fn has_room(&self, now: Instant, deadline: Instant) -> bool {
+    pub fn has_free_slot(&self, now: Instant, deadline: Instant) -> bool {
         let in_time = self.ends_by.is_some_and(|end| deadline <= end);
         in_time && self.running < self.slots(now)
     }
 
-    /// Returns the slots on which work may start.
+    /// Returns the slots on which requests may start at `now`.
     #[must_use]
     pub fn slots(&self, now: Instant) -> u32 {
         match self.starts_until {
@@ -75,19 +74,19 @@
         }
     }
 
-    /// Ends the lease for new work.
+    /// Ends the lease for new requests.
     pub fn end(&mut self) {
         self.starts_until = None;
     }
 
-    /// Returns whether work runs on it or may start.
+    /// Returns whether requests run on it or may start.
     #[must_use]
     pub fn is_live(&self, now: Instant) -> bool {
         self.running > 0 || self.slots(now) > 0
     }
 }
 
-/// Slots that this node granted to one holder, and does not use itself.
+/// The slots that this node granted to one holder and does not use itself.
 #[derive(Clone, Debug, Default)]
 pub struct Granted {
     grants: Vec<Period>,
@@ -100,27 +99,27 @@
 }
 
 impl Granted {
-    /// Adds a grant. Earlier ones stay until their own end when they are greater.
+    /// Adds a grant. Earlier grants stay in force if they have more slots or end later.
     pub fn add(&mut self, slots: u32, until: Instant) {
         self.grants.retain(|p| p.slots > slots || p.until > until);
         self.grants.push(Period { slots, until });
     }
 
-    /// Lowers every grant to at most `held` slots.
+    /// Limits every grant to `held` slots.
     pub fn limit(&mut self, held: u32) {
         for period in &mut self.grants {
             period.slots = period.slots.min(held);
         }
     }
 
-    /// Returns the slots that are granted now.
+    /// Returns the granted slots: the maximum over the grants in force at `now`.
     #[must_use]
     pub fn slots(&self, now: Instant) -> u32 {
         let current = self.grants.iter().filter(|p| now < p.until);
         current.map(|p| p.slots).max().unwrap_or(0)
     }
 
-    /// Forgets grants that ended; returns whether one is left.
+    /// Removes expired and empty grants; returns whether any is left.
     pub fn expire(&mut self, now: Instant) -> bool {
         self.grants.retain(|p| now < p.until && p.slots > 0);
         !self.grants.is_empty()
--- a/crates/steer/src/ownership/ledger.rs
+++ b/crates/steer/src/ownership/ledger.rs
@@ -1,7 +1,6 @@
-//! The ledger of one upstream: which slots this node may use, and which are taken.
+//! The ledger of one upstream: exact counts of the slots that this node may use, and of those in use.
 //!
-//! Owns the exact counts. Relies on [`allotment`] for the slots of this node itself and on [`lease`] for
-//! those that it holds or has granted. Nothing is started here beyond the sum of both.
+//! The slots are this node's own [`allotment`], less those it has granted, plus the [`lease`]s it holds.
 
 use std::collections;
 use std::time::Instant;
@@ -11,21 +10,21 @@
 use crate::ownership::allotment;
 use crate::ownership::lease;
 
-/// Where the slot of a request is from.
+/// Where the slot of a request comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
     /// This node's own allotment.
     Own,
-    /// A lease of this grantor.
+    /// A lease granted by this node.
     Lease(member::Key),
 }
 
-/// Slots of one upstream as this node may use them.
+/// The slots of one upstream that this node may use, has granted or has in use.
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    /// Slots the upstream has.
+    /// Number of slots that the upstream declares.
     pub slots: u32,
-    /// The slots that this node may use by itself.
+    /// The slots that this node may use without a lease.
     pub allotment: allotment::Allotment,
     running: u32,
     abandoned: Vec<(Instant, Source)>,
@@ -34,7 +33,7 @@
 }
 
 impl Ledger {
-    /// Makes the ledger of an upstream that is not used yet.
+    /// Creates a ledger without leases and requests.
     #[must_use]
     pub fn new(slots: u32, allotment: allotment::Allotment) -> Self {
         Self {
@@ -47,31 +46,31 @@
         }
     }
 
-    /// Returns how many requests may run now, on the allotment and on leases.
+    /// Returns the slots that may be used at `now`, of the allotment and of leases.
     #[must_use]
     pub fn capacity(&self, now: Instant) -> u32 {
         let own = self.allotment.usable.saturating_sub(self.granted_slots(now));
         own + self.held_slots(now)
     }
 
-    /// Returns the slots that hold a request, or may still hold one that was abandoned.
+    /// Returns the slots in use, including those of abandoned requests that may still be running.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
-        self.running + self.held.values().map(|b| b.running).sum::<u32>()
+        self.running + self.held.values().map(|lease| lease.running).sum::<u32>()
     }
 
-    /// Returns the slot that a request with this deadline could take.
+    /// Returns a free slot for a request with this deadline, preferably of the own allotment.
     #[must_use]
-    pub fn room(&self, now: Instant, deadline: Instant) -> Option<Source> {
+    pub fn free_slot(&self, now: Instant, deadline: Instant) -> Option<Source> {
         let own = self.allotment.usable.saturating_sub(self.granted_slots(now));
         if self.running < own {
             return Some(Source::Own);
         }
-        let lease = self.held.iter().find(|(_, b)| b.has_room(now, deadline));
+        let lease = self.held.iter().find(|(_, lease)| lease.has_free_slot(now, deadline));
         lease.map(|(grantor, _)| Source::Lease(grantor.clone()))
     }
 
-    /// Takes a slot of `source`.
+    /// Occupies a slot of `source`.
     pub fn start(&mut self, source: &Source) {
         match source {
             Source::Own => self.running += 1,
@@ -83,7 +82,7 @@
         }
     }
 
-    /// Gives a slot back whose request has ended at the upstream.
+    /// Releases a slot whose request has ended at the upstream.
     pub fn finish(&mut self, source: &Source) {
         match source {
             Source::Own => self.running = self.running.saturating_sub(1),
@@ -95,12 +94,13 @@
         }
     }
 
-    /// Gives a slot back at `until`, when an abandoned request must have ended at the upstream.
+    /// Schedules the release of a slot at `until`, by when an abandoned request must have ended at the
+    /// upstream.
     pub fn abandon(&mut self, source: Source, until: Instant) {
         self.abandoned.push((until, source));
     }
 
-    /// Frees the slots of abandoned requests that have ended, and forgets leases that are over.
+    /// Releases the slots of abandoned requests that must have ended, and removes expired leases.
     pub fn expire(&mut self, now: Instant) {
         let ended: Vec<Source> = self
             .abandoned
@@ -114,7 +114,7 @@
         self.held.retain(|_, held| held.is_live(now));
     }
 
-    /// Grants all that is free to `owner` until `until`; returns the slots granted.
+    /// Grants all free slots of the allotment to `owner` until `until`; returns their number.
     pub fn grant(&mut self, owner: &member::Key, now: Instant, until: Instant) -> u32 {
         let others = self.granted.iter().filter(|(key, _)| *key != owner);
         let others: u32 = others.map(|(_, granted)| granted.slots(now)).sum();
@@ -125,14 +125,14 @@
         free
     }
 
-    /// Ends the grants to `owner` but for the `held` slots that it reports to be in use.
+    /// Reduces the grants to `owner` to the `held` slots that it reports as in use.
     pub fn reclaim(&mut self, owner: &member::Key, held: u32) {
         if let Some(granted) = self.granted.get_mut(owner) {
             granted.limit(held);
         }
     }
 
-    /// Holds a lease of `grantor`, asked for at `asked`, which is before its grant began.
+    /// Records a lease of `grantor` that was requested at `asked`, before the grantor's term began.
     pub fn hold_lease(
         &mut self,
         grantor: &member::Key,
@@ -143,37 +143,37 @@
         self.held.entry(grantor.clone()).or_default().renew(slots, asked, terms);
     }
 
-    /// Starts nothing more on leases; what runs on them goes on.
+    /// Ends the held leases for new requests; running requests keep their slots.
     pub fn end_held_leases(&mut self) {
         for held in self.held.values_mut() {
             held.end();
         }
     }
 
-    /// Returns, for each grantor, the slots of its lease that are in use.
+    /// Returns the slots in use of each held lease, by grantor.
     pub fn running_on_leases(&self) -> impl Iterator<Item = (&member::Key, u32)> {
         self.held.iter().map(|(grantor, held)| (grantor, held.running))
     }
 
-    /// Returns the slots granted to others.
+    /// Returns the number of slots granted to other nodes.
     #[must_use]
     pub fn granted_slots(&self, now: Instant) -> u32 {
-        self.granted.values().map(|l| l.slots(now)).sum()
+        self.granted.values().map(|granted| granted.slots(now)).sum()
     }
 
-    /// Returns the slots that others granted.
+    /// Returns the number of slots granted by other nodes.
     #[must_use]
     pub fn held_slots(&self, now: Instant) -> u32 {
-        self.held.values().map(|b| b.slots(now)).sum()
+        self.held.values().map(|lease| lease.slots(now)).sum()
     }
 
-    /// Returns whether what this node uses or has granted fits its share of the newest epoch.
+    /// Returns whether the slots used and granted are within this node's share of the newest epoch.
     #[must_use]
     pub fn is_settled(&self, now: Instant) -> bool {
         self.running + self.granted_slots(now) <= self.allotment.share
     }
 
-    /// Returns whether nothing is in use, granted or held.
+    /// Returns whether no slot is in use, granted or held.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.in_flight() == 0 && self.granted.is_empty() && self.held.is_empty()
--- a/crates/steer/src/ownership/members.rs
+++ b/crates/steer/src/ownership/members.rs
@@ -1,10 +1,9 @@
-//! Members: the nodes that are known, and when each was last seen.
+//! Members: the known nodes and the failure detector.
 //!
-//! Nodes of one region forward each other's liveness counters, and a silent node is suspected. Nodes of
-//! other regions count as alive while their region's table lists them, so that the traffic of a node
-//! does not grow with the fleet (docs/DECISIONS.md); one that fails to answer gets no work for a while.
-//!
-//! Owns the descriptions and the times. Relies on [`heartbeat`] for what nodes describe.
+//! Nodes of one region forward each other's liveness counters, and suspect a node whose counter does not
+//! advance. Nodes of other regions count as alive while their region's table lists them, so that a node's
+//! traffic does not grow with the fleet (docs/DECISIONS.md). One that fails to answer gets no requests
+//! for `REMOTE_PAUSE`.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -15,24 +14,23 @@
 
 use crate::ownership::heartbeat;
 
-/// Silence after which a node gets no new work. Not measured; five heartbeats.
+/// Silence after which a node gets no new requests: five heartbeats.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(2_500);
 
-/// Silence after which a node may be taken off its region's table. Not measured; twice the suspicion.
+/// Silence after which a node may be removed from its region's table: twice [`SUSPECT_AFTER`].
 pub const DEAD_AFTER: Duration = Duration::from_secs(5);
 
-/// Silence after which another region counts as lost.
-///
-/// Not measured; its summary is made every second and takes some heartbeats to arrive.
+/// Silence after which another region counts as lost. Its summary is made every second and takes several
+/// heartbeats to arrive.
 pub const LOST_AFTER: Duration = Duration::from_secs(6);
 
-/// Time for which a node of another region gets no work after it failed to answer. Not measured.
+/// Time for which a node of another region gets no requests after it failed to answer.
 const REMOTE_PAUSE: Duration = Duration::from_secs(5);
 
-/// Silence after which a node is forgotten. Not measured; it bounds memory only.
+/// Silence after which a node is removed; only bounds memory.
 const FORGET_AFTER: Duration = Duration::from_secs(120);
 
-/// The nodes that are known.
+/// The known nodes and the tables of other regions.
 #[derive(Debug)]
 pub struct Members {
     own: id::Region,
@@ -44,28 +42,28 @@
 /// One known node.
 #[derive(Clone, Debug)]
 pub struct Known {
-    /// As it last described itself.
+    /// Its latest description of itself.
     pub member: heartbeat::Member,
-    /// When its liveness last advanced here.
+    /// When this node last received a newer description or liveness counter.
     pub last_seen: Instant,
-    /// When its description last changed here, its sequence aside.
+    /// When its description last changed, apart from its sequence number.
     pub changed: Instant,
-    /// When it last failed to answer; none once it was seen again.
+    /// When it last failed to answer; `None` once it was seen again.
     pub failed: Option<Instant>,
     location: Location,
 }
 
-/// Where a node stands, as seen from this one.
+/// The location of a node, relative to this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Location {
     /// In this node's region.
     Local,
-    /// In another region, whose table lists it or not.
+    /// In another region.
     Remote { is_listed: bool },
 }
 
 impl Known {
-    /// Returns whether it may be given work.
+    /// Returns whether it may get requests.
     #[must_use]
     pub fn is_alive(&self, now: Instant) -> bool {
         let silent = now.saturating_duration_since(self.last_seen);
@@ -78,7 +76,7 @@
         }
     }
 
-    /// Returns whether it was silent for so long that it may be taken off its table.
+    /// Returns whether it was silent for so long that it may be removed from its table.
     #[must_use]
     pub fn is_dead(&self, now: Instant) -> bool {
         let is_listed = self.location == Location::Remote { is_listed: true };
@@ -86,17 +84,17 @@
     }
 }
 
-/// What changed since a peer was last updated.
+/// The changes since a peer was last updated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Members whose descriptions changed.
     pub members: Vec<heartbeat::Member>,
-    /// Local members whose liveness advanced and nothing else.
+    /// Local members of which only the liveness counter advanced.
     pub liveness: Vec<heartbeat::Liveness>,
 }
 
 impl Members {
-    /// Makes the members that a node of the region `own` knows when it starts.
+    /// Creates the empty set of members, for a node of the region `own`.
     #[must_use]
     pub fn new(own: id::Region) -> Self {
         Self {
@@ -126,7 +124,7 @@
         self.regions_seen.insert(region.clone(), now);
     }
 
-    /// Records a description; one that is not newer than the known one is dropped.
+    /// Records a description if it is newer than the known one.
     pub fn record(&mut self, member: &heartbeat::Member, now: Instant) {
         match self.known.get(&member.key.node) {
             Some(known) if !is_newer(member, known, now) => {}
@@ -146,7 +144,7 @@
         }
     }
 
-    /// Records a liveness counter of a member whose description is known.
+    /// Records a liveness counter if the member's description is known and the counter is newer.
     pub fn record_liveness(&mut self, liveness: &heartbeat::Liveness, now: Instant) {
         match self.known.get_mut(&liveness.key.node) {
             Some(known)
@@ -161,7 +159,7 @@
         }
     }
 
-    /// Returns the latest `most` changes since `since`, or since ever.
+    /// Returns the latest `most` changes after `since`, or of all if it is `None`.
     #[must_use]
     pub fn changes(&self, since: Option<Instant>, most: usize) -> Changes {
         let is_after = |at: Instant| since.is_none_or(|since| at > since);
@@ -190,13 +188,13 @@
         }
     }
 
-    /// Returns one node.
+    /// Returns a node by name.
     #[must_use]
     pub fn get(&self, node: &id::Node) -> Option<&Known> {
         self.known.get(node)
     }
 
-    /// Returns one incarnation, when it is the known one.
+    /// Returns a node if the incarnation in `key` is the known one.
     #[must_use]
     pub fn incarnation(&self, key: &member::Key) -> Option<&Known> {
         self.known.get(&key.node).filter(|k| k.member.key == *key)
@@ -207,7 +205,7 @@
         self.known.values()
     }
 
-    /// Returns the nodes that may be given work.
+    /// Returns the nodes that may get requests.
     pub fn alive(&self, now: Instant) -> impl Iterator<Item = &Known> {
         self.known.values().filter(move |k| k.is_alive(now))
     }
@@ -220,14 +218,14 @@
             && seen.is_some_and(|at| now.saturating_duration_since(*at) >= LOST_AFTER)
     }
 
-    /// Forgets nodes that were silent for `FORGET_AFTER` and are not listed elsewhere.
-    pub fn forget(&mut self, now: Instant) {
+    /// Removes nodes that were silent for `FORGET_AFTER` and are not listed in another region's table.
+    pub fn expire(&mut self, now: Instant) {
         let is_recent = |k: &Known| now.saturating_duration_since(k.last_seen) < FORGET_AFTER;
         self.known
             .retain(|_, k| k.location == Location::Remote { is_listed: true } || is_recent(k));
     }
 
-    /// Returns where a node stands. Nodes of a region whose table is not known yet count as listed.
+    /// Returns the location of a node. Nodes of a region whose table is not known yet count as listed.
     fn location(&self, member: &heartbeat::Member) -> Location {
         match member.region == self.own {
             true => Location::Local,
@@ -240,16 +238,16 @@
     }
 }
 
-/// Returns whether two descriptions are equal, their sequences aside.
+/// Returns whether two descriptions are equal apart from their sequence numbers.
 fn is_same(before: &heartbeat::Member, after: &heartbeat::Member) -> bool {
     let before = heartbeat::Member { sequence: after.sequence, ..before.clone() };
     before == *after
 }
 
-/// Returns whether `member` is newer than what is known.
+/// Returns whether `member` is newer than the known description.
 ///
-/// Incarnations grow with the time of day, which may have gone back; so a dead node's name may also be
-/// taken over by a smaller one.
+/// Incarnations are derived from the wall-clock time, which may have been set back. A lower incarnation is
+/// therefore accepted if the known one is dead.
 fn is_newer(member: &heartbeat::Member, known: &Known, now: Instant) -> bool {
     let (new, old) = (&member.key.incarnation, &known.member.key.incarnation);
     match new.cmp(old) {
--- a/crates/steer/src/ownership/mod.rs
+++ b/crates/steer/src/ownership/mod.rs
@@ -1,12 +1,12 @@
-//! Decisions of nodes that own upstreams: owners, exact counts of slots, leases, queues, tickets.
+//! Decisions of nodes that own upstreams: ownership, exact slot counts, leases, queues and tickets.
 //!
-//! Each upstream has one owner, which alone sends to it. [`core::Core`] takes an [`event::Event`] with
-//! a time and pushes [`action::Action`]s; a test can drive it as the process does.
+//! Each upstream has one owner, and only the owner sends requests to it. [`core::Core`] takes an
+//! [`event::Event`] with a time and pushes [`action::Action`]s, so tests can drive it like the process.
 //!
-//! A request meets, in this order: [`router`] (region by the split, owner by its load), [`owner`] (slot,
-//! queue or refusal), [`retry`] (another try or not). The region's slots are divided by [`rendezvous`],
-//! [`share`], [`allotment`] and [`lease`]; the splits are moved by [`planner`] and [`rotation`]; the
-//! nodes know each other by [`heartbeat`], [`members`], [`peering`] and [`maintenance`].
+//! A request passes through [`router`] (region by the split, owner by its load), [`owner`] (slot, queue or
+//! refusal) and, if it fails, [`retry`]. [`rendezvous`], [`share`], [`allotment`] and [`lease`] divide a
+//! region's slots among its nodes. [`planner`] and [`rotation`] move the splits. [`heartbeat`],
+//! [`members`], [`peering`] and [`maintenance`] implement membership.
 
 pub mod action;
 pub mod allotment;
--- a/crates/steer/src/ownership/owned.rs
+++ b/crates/steer/src/ownership/owned.rs
@@ -1,7 +1,7 @@
-//! Upstreams as their owner sees them: slots, slow start and health together.
+//! The state of an upstream at its owner.
 //!
-//! Owns how these limit an upstream, and the cost by which one is chosen. Relies on [`ledger`],
-//! [`slow_start`] and [`health`] for each limit.
+//! Combines the limits of [`ledger`], [`slow_start`] and [`health`], and computes the cost by which an
+//! upstream is selected.
 
 use std::net;
 use std::time::Instant;
@@ -13,33 +13,33 @@
 use crate::ownership::ledger;
 use crate::ownership::slow_start;
 
-/// Least part of its load that a fast upstream is charged with.
+/// Lower bound of the latency factor in an upstream's cost.
 ///
-/// Not measured; an upstream that answers twice as fast as the others is preferred, a faster one no
-/// more, since quick failures look fast too.
+/// An upstream that answers more than twice as fast as the mean is not preferred further, because
+/// failures that are answered quickly look fast too.
 const LEAST_LATENCY_FACTOR: f64 = 0.5;
 
 /// One upstream of this region.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: net::SocketAddr,
-    /// Its hall.
+    /// The hall it is in.
     pub hall: id::Hall,
-    /// Who may use its slots, and which are taken.
+    /// The slots that this node may use, and those in use.
     pub ledger: ledger::Ledger,
-    /// How many of them are used while it is cold.
+    /// The limit of slots while it is cold.
     pub slow_start: slow_start::SlowStart,
-    /// What is known against it.
+    /// The results of its requests and probes.
     pub health: health::Health,
-    /// Whether a drain or the VM list keeps new work away.
+    /// Whether a drain or the VM list excludes it from new requests.
     pub is_drained: bool,
     /// Whether the configuration still declares it.
     pub is_declared: bool,
 }
 
 impl Upstream {
-    /// Returns how many requests may run at once now.
+    /// Returns the maximum number of concurrent requests at `now`.
     #[must_use]
     pub fn limit(&self, now: Instant) -> u32 {
         let usable = !self.is_drained && self.is_declared && self.health.is_usable(now);
@@ -53,19 +53,19 @@
         }
     }
 
-    /// Returns the slot a request could take, when the upstream has one to spare.
+    /// Returns a free slot for a request with this deadline, if there is one within the limit.
     #[must_use]
-    pub fn room(&self, now: Instant, deadline: Instant) -> Option<ledger::Source> {
+    pub fn free_slot(&self, now: Instant, deadline: Instant) -> Option<ledger::Source> {
         match self.ledger.in_flight() < self.limit(now) {
-            true => self.ledger.room(now, deadline),
+            true => self.ledger.free_slot(now, deadline),
             false => None,
         }
     }
 
-    /// Returns the cost of one more request; the least is chosen.
+    /// Returns the cost of one more request; the upstream of least cost is selected.
     ///
-    /// It is the share of its usable slots that the upstream would use, times how much longer than
-    /// `baseline`, the mean of the service, it takes to answer.
+    /// The cost is the utilization of its usable slots with that request, times the ratio of its mean
+    /// latency to `baseline`, the mean latency of the service.
     #[must_use]
     pub fn cost(&self, now: Instant, baseline: latency::Mean) -> f64 {
         let limit = f64::from(self.limit(now).max(1));
--- a/crates/steer/src/ownership/owner/admission.rs
+++ b/crates/steer/src/ownership/owner/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: whether a request takes a slot at once, waits, or is refused.
+//! Admission control: starts, queues or refuses a request, and selects its upstream.
 //!
-//! Owns the choice of the upstream. Relies on [`owned::Upstream`](crate::ownership::owned::Upstream)
-//! for room and cost, and on [`queueing`](super::queueing) for requests that may wait.
+//! [`owned::Upstream`](crate::ownership::owned::Upstream) supplies the free slots and the cost of each
+//! upstream; [`queueing`](super::queueing) holds the requests that wait.
 
 use std::time::Instant;
 
@@ -15,10 +15,11 @@
 use crate::ownership::request;
 
 impl Owner {
-    /// Decides on a request that wants a slot.
+    /// Admits, queues or refuses a request.
     ///
-    /// It starts at once when an upstream has room and none waits before it. Otherwise it waits if
-    /// it may; if not, it is refused so that its entry asks another owner.
+    /// The request starts at once if an upstream has a free slot and the queue is empty. Otherwise it
+    /// is queued if it may wait, and refused if not, so that the node that received it from the caller
+    /// tries another owner.
     pub fn offer(&mut self, offer: request::Offer, now: Instant, out: &mut Vec<action::Action>) {
         let Some(served) = self.services.get_mut(&offer.service) else {
             return refuse(offer.id, verdict::Failure::not_run(verdict::Reason::NotHome), out);
@@ -28,7 +29,7 @@
             return refuse(offer.id, verdict::Failure::not_run(verdict::Reason::Deadline), out);
         }
         let is_first = self.queue_len(&offer.service) == 0;
-        match self.choose(&offer, now) {
+        match self.select_slot(&offer, now) {
             Some(slot) if is_first => self.start(&offer, slot, now, out),
             _ if offer.may_wait => self.enqueue(offer, now, out),
             _ => {
@@ -41,8 +42,9 @@
         }
     }
 
-    /// Returns a slot at the upstream of least cost that has room; the first by name wins a tie.
-    pub(super) fn choose(&self, offer: &request::Offer, now: Instant) -> Option<Slot> {
+    /// Returns a slot at the upstream of least cost among those with a free slot; the first by name
+    /// wins a tie.
+    pub(super) fn select_slot(&self, offer: &request::Offer, now: Instant) -> Option<Slot> {
         let baseline =
             self.services.get(&offer.service).map_or(latency::Mean::default(), |s| s.latency);
         let mut best: Option<(f64, &upstream::Key, ledger::Source)> = None;
@@ -50,7 +52,7 @@
             if offer.avoid.contains(&key.upstream) {
                 continue;
             }
-            let Some(source) = upstream.room(now, offer.deadline) else { continue };
+            let Some(source) = upstream.free_slot(now, offer.deadline) else { continue };
             let cost = upstream.cost(now, baseline);
             if best.as_ref().is_none_or(|(least, _, _)| cost < *least) {
                 best = Some((cost, key, source));
@@ -59,7 +61,7 @@
         best.map(|(_, key, source)| Slot { upstream: key.clone(), source })
     }
 
-    /// Takes the slot and sends the request to its upstream.
+    /// Occupies the slot and emits the action that sends the request to its upstream.
     pub(super) fn start(
         &mut self,
         offer: &request::Offer,
@@ -74,7 +76,7 @@
             upstream: slot.upstream.upstream.clone(),
             address: upstream.address,
         });
-        let running = Running { slot, since: now, deadline: offer.deadline };
+        let running = Running { slot, started: now, deadline: offer.deadline };
         self.running.insert(offer.id, running);
     }
 }
--- a/crates/steer/src/ownership/owner/completion.rs
+++ b/crates/steer/src/ownership/owner/completion.rs
@@ -1,7 +1,6 @@
-//! Completion: what a request's end says of its upstream, and when its slot is free again.
+//! Completion: releases the slot of a finished request and updates the state of its upstream.
 //!
-//! Owns the grace after a cancellation. Relies on the ledger, on slow start and on the upstream's
-//! health, which it feeds.
+//! The outcome is recorded in the upstream's ledger, slow start and health.
 
 use std::time::{Duration, Instant};
 
@@ -9,18 +8,16 @@
 use crate::ownership::action;
 use crate::ownership::request;
 
-/// Time for which a slot stays taken after its request was abandoned, so that the upstream has
-/// noticed the closed connection.
-///
-/// Not measured.
+/// Time for which a slot stays occupied after its request was abandoned, so that the upstream can
+/// notice the closed connection.
 pub const CANCEL_GRACE: Duration = Duration::from_millis(250);
 
-/// Weight of a new answer in a service's mean answer time. Not measured; about the last 50 answers
-/// count, over all upstreams.
+/// Weight of a new sample in a service's mean latency: averages about the last 50 answers of all
+/// upstreams.
 const SERVICE_LATENCY_WEIGHT: f64 = 0.02;
 
 impl Owner {
-    /// Records that a request ended, and starts those that waited for its slot.
+    /// Records the outcome of a request and starts queued requests in the slots that are free.
     pub fn complete(
         &mut self,
         id: request::Id,
@@ -36,7 +33,8 @@
 
     /// Removes a request whose caller gave up before it learned of its slot.
     ///
-    /// It may have been given one in the meantime; nothing was sent there, so it is free at once.
+    /// The request may have been started in the meantime. Nothing was sent to the upstream, so its
+    /// slot is released at once.
     pub fn withdraw(&mut self, id: request::Id, now: Instant, out: &mut Vec<action::Action>) {
         for served in self.services.values_mut() {
             served.queue.remove(id);
@@ -45,26 +43,26 @@
     }
 
     fn record_outcome(&mut self, running: Running, outcome: request::Outcome, now: Instant) {
-        let Running { slot, since, deadline } = running;
+        let Running { slot, started, deadline } = running;
         let Some(served) = self.services.get_mut(&slot.upstream.service) else { return };
         let Some(upstream) = self.upstreams.get_mut(&slot.upstream) else { return };
-        // The upstream stops at the deadline by itself.
+        // The upstream stops working on a request at its deadline.
         let cancelled_by = (now + CANCEL_GRACE).min(deadline + CANCEL_GRACE);
         match outcome {
             request::Outcome::Answered => {
-                let latency = now.saturating_duration_since(since);
+                let latency = now.saturating_duration_since(started);
                 upstream.ledger.finish(&slot.source);
-                upstream.slow_start.answered(latency, served.latency, upstream.ledger.slots);
-                upstream.health.succeeded();
+                upstream.slow_start.record_answer(latency, served.latency, upstream.ledger.slots);
+                upstream.health.record_success();
                 served.latency.record(latency, SERVICE_LATENCY_WEIGHT);
             }
             request::Outcome::Shed => upstream.ledger.finish(&slot.source),
             request::Outcome::Unreachable => {
                 upstream.ledger.finish(&slot.source);
-                upstream.health.failed(now);
+                upstream.health.record_failure(now);
             }
             request::Outcome::Broken => {
-                upstream.health.failed(now);
+                upstream.health.record_failure(now);
                 upstream.ledger.abandon(slot.source, cancelled_by);
             }
             request::Outcome::Abandoned => upstream.ledger.abandon(slot.source, cancelled_by),
--- a/crates/steer/src/ownership/owner/configuration.rs
+++ b/crates/steer/src/ownership/owner/configuration.rs
@@ -1,7 +1,7 @@
-//! What the owner learns from outside: declarations, tables, drains, the VM list, probes.
+//! External inputs of the owner: declarations, membership tables, drains, the VM list and probes.
 //!
-//! Owns when an upstream starts cold, and when it is forgotten. Relies on
-//! [`allotment`] for this node's slots under a new table.
+//! An upstream starts cold if it is declared after this node's first configuration, moves to another
+//! address, or was restarted. It is removed once it is no longer declared and its ledger is idle.
 
 use std::sync;
 use std::time::{Instant, SystemTime};
@@ -15,7 +15,7 @@
 use model::table;
 use model::upstream;
 
-use super::{Owner, Served};
+use super::{Owner, ServiceState};
 use crate::ownership::allotment;
 use crate::ownership::health;
 use crate::ownership::latency;
@@ -30,7 +30,7 @@
 impl Owner {
     /// Applies a configuration.
     ///
-    /// Upstreams of the first configuration count as warm: they ran before this node started.
+    /// Upstreams of the first configuration count as warm, as they ran before this node started.
     pub fn configure(&mut self, snapshot: &snapshot::Snapshot, region: &id::Region) {
         let is_first = self.services.is_empty();
         for upstream in self.upstreams.values_mut() {
@@ -45,8 +45,9 @@
         self.upstreams.retain(|_, u| u.is_declared || !u.ledger.is_idle());
     }
 
-    /// Computes this node's allotment at every upstream anew.
-    pub fn assign(
+    /// Recomputes this node's allotment of every upstream, and stops using leases of upstreams that
+    /// this node no longer owns.
+    pub fn update_allotments(
         &mut self,
         table: &table::Table,
         me: &member::Key,
@@ -61,33 +62,45 @@
         }
     }
 
-    /// Applies drains and the VM list; `wall` is the time of day.
-    pub fn drain(&mut self, snapshot: &snapshot::Snapshot, vms: &vms::List, wall: SystemTime) {
+    /// Marks the upstreams that are under a declared drain, or whose VM is leaving or gone.
+    ///
+    /// `wall` is the wall-clock time, on which drains are scheduled.
+    pub fn update_drains(
+        &mut self,
+        snapshot: &snapshot::Snapshot,
+        vms: &vms::List,
+        wall: SystemTime,
+    ) {
         for stored in snapshot.services.values() {
             for spec in &stored.spec.upstreams {
                 let drains = snapshot.drains.values();
-                let planned = drains.into_iter().any(|d| d.spec.covers(spec, wall));
+                let has_drain = drains.into_iter().any(|d| d.spec.covers(spec, wall));
                 let leaving = vms.is_leaving(spec.address.ip()) || vms.is_gone(spec.address.ip());
                 let key = key_of(&stored.spec.name, &spec.name);
                 if let Some(upstream) = self.upstreams.get_mut(&key) {
-                    upstream.is_drained = planned || leaving;
+                    upstream.is_drained = has_drain || leaving;
                 }
             }
         }
     }
 
-    /// Applies the outcome of a probe; an upstream that was started anew is cold.
-    pub fn probed(&mut self, key: &upstream::Key, report: Option<&report::Report>) {
+    /// Applies the result of a probe (`None` if it got no answer); a restarted upstream is cold.
+    pub fn record_probe(&mut self, key: &upstream::Key, report: Option<&report::Report>) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
-        if upstream.health.probed(report) {
+        if upstream.health.record_probe(report) {
             upstream.slow_start = slow_start::SlowStart::cold();
         }
     }
 
-    /// Applies what an upstream said of itself in an answer.
-    pub fn said(&mut self, key: &upstream::Key, statement: &statement::Statement, now: Instant) {
+    /// Applies the statement that an upstream made about itself in an answer.
+    pub fn record_statement(
+        &mut self,
+        key: &upstream::Key,
+        statement: &statement::Statement,
+        now: Instant,
+    ) {
         if let Some(upstream) = self.upstreams.get_mut(key) {
-            upstream.health.said(statement, now);
+            upstream.health.record_statement(statement, now);
         }
     }
 
@@ -97,7 +110,7 @@
         region: &id::Region,
         is_first: bool,
     ) {
-        let served = self.services.entry(spec.name.clone()).or_insert_with(|| Served {
+        let served = self.services.entry(spec.name.clone()).or_insert_with(|| ServiceState {
             spec: sync::Arc::clone(spec),
             queue: queue::Queue::default(),
             rates: rates::Rates::default(),
--- a/crates/steer/src/ownership/owner/leasing.rs
+++ b/crates/steer/src/ownership/owner/leasing.rs
@@ -1,7 +1,7 @@
-//! Leasing: ranked nodes grant their unused slots to the owner, which then holds them all.
+//! Leasing: the nodes ranked below the owner grant it their unused slots, so that it can use all of them.
 //!
-//! Owns the term of a lease. Relies on [`lease`] for both clocks and on the ledger for what is free.
-//! Both sides must act on one table; [`Core`](crate::ownership::core::Core) checks that.
+//! [`lease`] holds the time limits of both sides. Both must act on the same membership table, which
+//! [`Core`](crate::ownership::core::Core) checks.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -12,14 +12,14 @@
 use crate::ownership::heartbeat;
 use crate::ownership::lease;
 
-/// Time in which a lease may be used for starting work, from when it was asked for.
+/// Time in which requests may start on a lease, counted from when it was requested.
 ///
-/// Not measured. Longer than three periods of heartbeats to a grantor, so that two lost ones do not
-/// end it; short, since a dead owner's slots stay away for this time and a deadline more.
+/// Longer than three heartbeat periods of a grantor, so that two lost heartbeats do not end the lease.
+/// Short, because a dead owner's slots stay unusable for this time plus the service's deadline.
 pub const LEASE_TERM: Duration = Duration::from_secs(3);
 
 impl Owner {
-    /// Grants `owner` this node's unused slots of the upstreams that it owns.
+    /// Grants `owner` the unused slots that this node has of the upstreams that `owner` owns.
     pub fn grant(&mut self, owner: &member::Key, now: Instant) -> Vec<heartbeat::Lease> {
         let mut leases = Vec::new();
         for (key, upstream) in &mut self.upstreams {
@@ -38,7 +38,7 @@
         leases
     }
 
-    /// Holds the leases of a reply, at upstreams that this node owns.
+    /// Records the leases of a heartbeat reply, for upstreams that this node owns.
     pub fn hold_leases(&mut self, me: &member::Key, granted: &lease::Grant<'_>) {
         for lease in granted.leases {
             let terms = lease::Terms { term: granted.term, tail: lease.tail };
@@ -47,13 +47,13 @@
                     let asked = granted.asked;
                     upstream.ledger.hold_lease(granted.grantor, lease.slots, asked, terms);
                 }
-                // Not this node's upstream: the grantor's slots stay unused until its grant ends.
+                // Not owned by this node: the grantor's slots stay unused until its grant expires.
                 _ => {}
             }
         }
     }
 
-    /// Ends grants to `holder` at upstreams that it no longer owns, but for slots that it still uses.
+    /// Reduces the grants to `holder`, at upstreams that it no longer owns, to the slots it still uses.
     pub fn reclaim(&mut self, holder: &member::Key, held: &[heartbeat::Lease]) {
         for (key, upstream) in &mut self.upstreams {
             if upstream.ledger.allotment.owner() == Some(holder) {
@@ -64,10 +64,14 @@
         }
     }
 
-    /// Returns the slots of `grantor` still in use at upstreams that this node no longer owns.
+    /// Returns the leases of `grantor` still in use at upstreams that this node no longer owns.
     #[must_use]
-    pub fn still_held(&self, me: &member::Key, grantor: &member::Key) -> Vec<heartbeat::Lease> {
-        let mut held = Vec::new();
+    pub fn leases_still_in_use(
+        &self,
+        me: &member::Key,
+        grantor: &member::Key,
+    ) -> Vec<heartbeat::Lease> {
+        let mut in_use = Vec::new();
         for (key, upstream) in &self.upstreams {
             if upstream.ledger.allotment.owner() == Some(me) {
                 continue;
@@ -76,20 +80,21 @@
             let of_grantor = leases.find(|(key, slots)| *key == grantor && *slots > 0);
             if let Some((_, slots)) = of_grantor {
                 let upstream = key.clone();
-                held.push(heartbeat::Lease { upstream, slots, tail: Duration::ZERO });
+                in_use.push(heartbeat::Lease { upstream, slots, tail: Duration::ZERO });
             }
         }
-        held
+        in_use
     }
 
-    /// Returns the nodes that can grant slots of this node's upstreams.
+    /// Returns the nodes that can grant slots of the upstreams that this node owns.
     #[must_use]
     pub fn grantors(&self, me: &member::Key) -> collections::BTreeSet<&member::Key> {
         let owned = self.upstreams.values().filter(|u| u.ledger.allotment.owner() == Some(me));
         owned.flat_map(|u| u.ledger.allotment.ranked.iter().skip(1)).collect()
     }
 
-    /// Returns whether every ledger fits its share of the newest epoch.
+    /// Returns whether this node uses and grants no more than its share of the newest epoch, at every
+    /// upstream.
     #[must_use]
     pub fn is_settled(&self, now: Instant) -> bool {
         self.upstreams.values().all(|u| u.ledger.is_settled(now))
--- a/crates/steer/src/ownership/owner/mod.rs
+++ b/crates/steer/src/ownership/owner/mod.rs
@@ -1,15 +1,15 @@
-//! The owner of upstreams: exact counts of what runs at them, and a bounded queue before them.
+//! The owner of upstreams: exact counts of the requests in flight, and a bounded queue per service.
 //!
-//! Only its owner sends to an upstream, so these counts are exact and need no measurement that lags
-//! (docs/measurements/policy.md, policy "homes": no request reached an upstream whose slots were taken).
+//! Only its owner sends requests to an upstream, so the counts are exact and never stale. In the
+//! measurement of policy "homes" (docs/measurements/policy.md) no request reached an upstream without a
+//! free slot.
 //!
-//! Owns the ledgers, queues and arrival rates of this region's services. Relies on
-//! [`allotment`](crate::ownership::allotment) for the slots that a node may use by itself and on
-//! [`lease`](crate::ownership::lease) for those that other nodes grant it. Driven by
+//! [`allotment`](crate::ownership::allotment) computes the slots that a node may use by itself, and
+//! [`lease`](crate::ownership::lease) adds those that other nodes grant it. The owner is driven by
 //! [`Core`](crate::ownership::core::Core).
 //!
-//! A request meets `admission`, then `queueing`, then `completion`; `configuration`,
-//! `leasing` and `reporting` stand beside its way.
+//! A request passes through `admission`, `queueing` and `completion`. `configuration`, `leasing` and
+//! `reporting` exchange state with the rest of the node.
 
 mod admission;
 mod completion;
@@ -38,33 +38,33 @@
 pub use completion::CANCEL_GRACE;
 pub use leasing::LEASE_TERM;
 
-/// The upstreams of this region as one node may use them, and the requests there.
+/// The upstreams of this region and the requests that this node runs or queues for them.
 #[derive(Debug, Default)]
 pub struct Owner {
-    /// The upstreams of this region, owned by this node or not.
+    /// All upstreams of this region, whether this node owns them or not.
     pub upstreams: collections::BTreeMap<upstream::Key, owned::Upstream>,
-    services: collections::BTreeMap<id::Service, Served>,
+    services: collections::BTreeMap<id::Service, ServiceState>,
     running: collections::HashMap<request::Id, Running>,
 }
 
-/// One service as this node serves it.
+/// The queue and the traffic statistics of one service at this node.
 #[derive(Debug)]
-struct Served {
+struct ServiceState {
     spec: sync::Arc<service::Service>,
     queue: queue::Queue,
     rates: rates::Rates,
     latency: latency::Mean,
 }
 
-/// A request that holds a slot.
+/// A request that occupies a slot.
 #[derive(Debug)]
 struct Running {
     slot: Slot,
-    since: Instant,
+    started: Instant,
     deadline: Instant,
 }
 
-/// A slot that a request takes.
+/// A slot of an upstream, and the allotment or lease that it belongs to.
 #[derive(Debug)]
 struct Slot {
     upstream: upstream::Key,
@@ -72,7 +72,8 @@
 }
 
 impl Owner {
-    /// Expires leases and waits, and starts the requests that then have room.
+    /// Expires leases and abandoned slots, starts queued requests in free slots, and refuses those that
+    /// waited too long.
     pub fn tick(&mut self, now: Instant, out: &mut Vec<action::Action>) {
         for upstream in self.upstreams.values_mut() {
             upstream.ledger.expire(now);
@@ -84,13 +85,13 @@
         }
     }
 
-    /// Returns how many requests run or wait.
+    /// Returns the number of running and queued requests.
     #[must_use]
     pub fn load(&self) -> usize {
         self.running.len() + self.services.values().map(|s| s.queue.len()).sum::<usize>()
     }
 
-    /// Returns how many requests of a service wait.
+    /// Returns the number of queued requests of a service.
     #[must_use]
     pub fn queue_len(&self, service: &id::Service) -> usize {
         self.services.get(service).map_or(0, |served| served.queue.len())
@@ -104,7 +105,7 @@
         self.upstreams.range(first..).take_while(move |(key, _)| key.service == *service)
     }
 
-    /// Returns the slots usable now at all upstreams of a service.
+    /// Returns the number of usable slots over all upstreams of a service.
     fn capacity(&self, service: &id::Service, now: Instant) -> u32 {
         self.upstreams_of(service).map(|(_, u)| u.limit(now)).sum()
     }
--- a/crates/steer/src/ownership/owner/queueing.rs
+++ b/crates/steer/src/ownership/owner/queueing.rs
@@ -1,6 +1,6 @@
-//! Queueing: how long a request waits for a slot, and when it is refused in place of waiting.
+//! Queueing: bounds the length of a service's queue and the time that a request waits in it.
 //!
-//! Owns the bounds of the wait. Relies on [`queue`] for the order, which is fair between places.
+//! [`queue`] decides the order, which is fair between places.
 
 use std::time::{Duration, Instant};
 
@@ -12,13 +12,13 @@
 use crate::ownership::queue;
 use crate::ownership::request;
 
-/// Most requests that wait for each usable slot. Not measured; it bounds memory, as the expected
-/// wait refuses most requests earlier.
+/// Maximum queued requests per usable slot. Bounds memory only: most requests are refused earlier,
+/// because of their expected wait.
 const QUEUE_PER_SLOT: usize = 4;
 
 impl Owner {
-    /// Lets a request wait, or refuses it when its expected wait passes its deadline or the service's
-    /// longest wait.
+    /// Queues a request, or refuses it if its expected wait exceeds its deadline or the service's
+    /// maximum wait, or if the queue is full.
     pub(super) fn enqueue(
         &mut self,
         offer: request::Offer,
@@ -42,7 +42,7 @@
         served.queue.push(queue::Waiting { offer, until });
     }
 
-    /// Starts waiting requests while there is room.
+    /// Starts queued requests while there are free slots.
     pub(super) fn start_waiting(
         &mut self,
         service: &id::Service,
@@ -55,7 +55,7 @@
                 return;
             }
             let mut queue = std::mem::take(&mut served.queue);
-            let next = queue.pop_for(|waiting| self.choose(&waiting.offer, now));
+            let next = queue.pop_for(|waiting| self.select_slot(&waiting.offer, now));
             if let Some(served) = self.services.get_mut(service) {
                 served.queue = queue;
             }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Refuses requests that waited long enough, or whose upstreams have another owner by now.
+    /// Refuses queued requests whose wait is over, or all of them if no slot is usable here any more.
     pub(super) fn expire_queue(
         &mut self,
         service: &id::Service,
--- a/crates/steer/src/ownership/owner/reporting.rs
+++ b/crates/steer/src/ownership/owner/reporting.rs
@@ -1,24 +1,24 @@
-//! Reporting: what an owner reports of its slots, queues and arrivals.
+//! Reporting: summaries of an owner's slots, queues and arrival rates.
 //!
-//! Owns nothing but the roll of the rates. Read by routers and planners of other nodes.
+//! Routers and planners of other nodes read them.
 
 use std::time::Instant;
 
 use model::id;
 use model::member;
 
-use super::{Owner, Served};
+use super::{Owner, ServiceState};
 use crate::ownership::heartbeat;
 
 impl Owner {
-    /// Rolls the rates of arrivals.
-    pub fn roll(&mut self, now: Instant) {
-        for served in self.services.values_mut() {
-            served.rates.roll(now);
+    /// Updates the arrival rates with the requests counted since the last call.
+    pub fn update_rates(&mut self, now: Instant) {
+        for service in self.services.values_mut() {
+            service.rates.update(now);
         }
     }
 
-    /// Returns a summary of each service that has slots, requests or arrivals here.
+    /// Returns a summary of each service that has usable slots, requests or arrivals at this node.
     #[must_use]
     pub fn summaries(
         &self,
@@ -27,7 +27,7 @@
         sequence: u64,
         now: Instant,
     ) -> Vec<heartbeat::Summary> {
-        let summary = |(name, served): (&id::Service, &Served)| {
+        let summary = |(name, served): (&id::Service, &ServiceState)| {
             let of_service = self.upstreams_of(name);
             let usable = of_service.clone().map(|(_, u)| u.limit(now)).sum();
             let in_flight = of_service.map(|(_, u)| u.ledger.in_flight()).sum();
@@ -47,7 +47,7 @@
         self.services.iter().map(summary).filter(|s| !is_empty(s)).collect()
     }
 
-    /// Returns how much of its slots a service uses here, requests that wait included.
+    /// Returns the usable slots of a service at this node, and the requests that run or wait.
     #[must_use]
     pub fn usage(&self, service: &id::Service, now: Instant) -> heartbeat::Usage {
         let of_service = self.upstreams_of(service);
--- a/crates/steer/src/ownership/owners.rs
+++ b/crates/steer/src/ownership/owners.rs
@@ -1,7 +1,6 @@
-//! Owners look-up: which nodes of a region can run a service's requests, as an entry sees them.
+//! Owner look-up: finds the nodes of a region that can run a service's requests.
 //!
-//! Owns the rule for an owner that is silent. Relies on [`rendezvous`] for the ranks and on the caller
-//! for who is alive.
+//! The nodes are ranked by [`rendezvous`] hashing. The caller supplies which of them are alive.
 
 use std::collections;
 use std::net;
@@ -15,20 +14,21 @@
 use crate::ownership::share;
 use model::upstream;
 
-/// A node that is owner of upstreams of one service.
+/// A node that owns upstreams of one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owner {
     /// The node.
     pub key: member::Key,
-    /// Where it listens for peers.
+    /// The address it listens on for peers.
     pub peers: net::SocketAddr,
-    /// Slots it can be expected to use.
+    /// Number of slots it is expected to have.
     pub weight: u32,
 }
 
-/// Returns the owners of `service` in the region of `table`, counting only nodes that are alive.
+/// Returns the owners of `service` in the region of `table` that are alive.
 ///
-/// While an owner is silent, the next ranked node that is alive takes requests for its own share.
+/// While an owner is silent, the next ranked node that is alive replaces it, with the slots of its own
+/// share only.
 #[must_use]
 pub fn find(
     table: &table::Table,
@@ -38,13 +38,13 @@
     let mut weights: collections::BTreeMap<&member::Key, u32> = collections::BTreeMap::new();
     for upstream in service.upstreams.iter().filter(|u| u.region == table.region) {
         let key = upstream::Key { service: service.name.clone(), upstream: upstream.name.clone() };
-        let ranked = rendezvous::top(&key, table.listed.iter().map(|s| &s.key));
+        let ranked = rendezvous::rank(&key, table.listed.iter().map(|s| &s.key));
         let ranks = ranked.len();
         let first_alive = ranked.into_iter().enumerate().find(|(_, key)| is_alive(key));
         match first_alive {
             Some((0, key)) => *weights.entry(key).or_insert(0) += upstream.slots,
             Some((rank, key)) => {
-                *weights.entry(key).or_insert(0) += share::of(upstream.slots, rank, ranks);
+                *weights.entry(key).or_insert(0) += share::of_rank(upstream.slots, rank, ranks);
             }
             None => {}
         }
@@ -53,10 +53,10 @@
         let listed = table.find(key)?;
         Some(Owner { key: key.clone(), peers: listed.peers, weight })
     };
-    weights.into_iter().filter_map(owner).filter(|h| h.weight > 0).collect()
+    weights.into_iter().filter_map(owner).filter(|owner| owner.weight > 0).collect()
 }
 
-/// Returns whether `region` is named by any upstream of the service.
+/// Returns whether the service has an upstream in `region`.
 #[must_use]
 pub fn serves(service: &service::Service, region: &id::Region) -> bool {
     service.upstreams.iter().any(|u| u.region == *region)
--- a/crates/steer/src/ownership/rates.rs
+++ b/crates/steer/src/ownership/rates.rs
@@ -1,19 +1,19 @@
-//! Rates: requests a second from each place, smoothed.
+//! Arrival rates: an exponential moving average of the requests per second from each place.
 //!
-//! Owns the counts since the last roll. Relies on being rolled with every heartbeat.
+//! [`Rates::update`] is called with every heartbeat.
 
 use std::collections;
 use std::time::{Duration, Instant};
 
 use model::id;
 
-/// Time over which a rate follows a change. Not measured.
+/// Time constant of the moving average.
 const SMOOTHING: Duration = Duration::from_secs(2);
 
-/// Rate, in requests a second, below which a place is forgotten: less than a message carries.
+/// Rate, in requests per second, at or below which a place is removed. Messages carry thousandths.
 const LEAST_RATE: f64 = 0.001;
 
-/// Arrivals by place.
+/// Arrival counts and smoothed rates by place.
 #[derive(Clone, Debug, Default)]
 pub struct Rates {
     counts: collections::BTreeMap<id::Place, u32>,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Folds the arrivals since the last call into the rates.
-    pub fn roll(&mut self, now: Instant) {
+    /// Updates the rates with the arrivals counted since the last call.
+    pub fn update(&mut self, now: Instant) {
         let Some(since) = self.since.replace(now) else { return };
         let elapsed = now.saturating_duration_since(since).as_secs_f64();
         if elapsed <= 0.0 {
@@ -51,7 +51,7 @@
         self.counts.clear();
     }
 
-    /// Returns the rates, in thousandths of a request a second.
+    /// Returns the rates, in thousandths of a request per second.
     #[must_use]
     pub fn thousandths(&self) -> Vec<(id::Place, u32)> {
         self.rates.iter().map(|(place, rate)| (place.clone(), thousandths(*rate))).collect()
@@ -61,7 +61,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a rate is positive, and a greater one than fits is as good as the greatest"
+    reason = "a rate is positive, and one that is too large saturates at the maximum"
 )]
 fn thousandths(rate: f64) -> u32 {
     (rate * 1_000.0) as u32
--- a/crates/steer/src/ownership/rendezvous.rs
+++ b/crates/steer/src/ownership/rendezvous.rs
@@ -1,23 +1,22 @@
-//! Rendezvous hashing: which nodes are owners of an upstream, in order.
+//! Rendezvous hashing: ranks the nodes that share the slots of an upstream.
 //!
-//! Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998): every node
-//! gets a score from a hash of both names, and the highest scores win. A node that joins or leaves
-//! moves only the upstreams it is ranked for.
-//!
-//! Owns the number of ranks. Relies on one hash function that all nodes share.
+//! Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998): the score of a
+//! node is a hash of its name and the upstream's, and the nodes with the highest scores are ranked. A
+//! node that joins or leaves affects only the upstreams it is ranked for. All nodes must use the same
+//! hash function.
 
 use model::member;
 use xxhash_rust::xxh3;
 
 use model::upstream;
 
-/// Nodes that hold a share of an upstream's slots. Not measured; two may fail at once, and a share of
-/// three slots is one or two.
+/// Number of nodes that hold a share of an upstream's slots: two of them may fail at once, and three
+/// slots still divide into shares of one or two.
 pub const RANKS: usize = 3;
 
 /// Returns the nodes that hold shares of `upstream`, the owner first.
 #[must_use]
-pub fn top<'a>(
+pub fn rank<'a>(
     upstream: &upstream::Key,
     nodes: impl Iterator<Item = &'a member::Key>,
 ) -> Vec<&'a member::Key> {
@@ -25,14 +24,14 @@
         upstream.upstream.as_str().as_bytes(),
         xxh3::xxh3_64(upstream.service.as_str().as_bytes()),
     );
-    let mut best: Vec<(u64, &member::Key)> = Vec::with_capacity(RANKS + 1);
+    let mut ranked: Vec<(u64, &member::Key)> = Vec::with_capacity(RANKS + 1);
     for key in nodes {
         let score = xxh3::xxh3_64_with_seed(key.node.as_str().as_bytes(), seed);
-        let at = best.partition_point(|(s, k)| (*s, *k) > (score, key));
+        let at = ranked.partition_point(|(s, k)| (*s, *k) > (score, key));
         if at < RANKS {
-            best.insert(at, (score, key));
-            best.truncate(RANKS);
+            ranked.insert(at, (score, key));
+            ranked.truncate(RANKS);
         }
     }
-    best.into_iter().map(|(_, key)| key).collect()
+    ranked.into_iter().map(|(_, key)| key).collect()
 }
--- a/crates/steer/src/ownership/report.rs
+++ b/crates/steer/src/ownership/report.rs
@@ -1,22 +1,21 @@
-//! Reports: an upstream's answer to a probe.
-//!
-//! Owns the form, which upstreams write. Read by [`health`](crate::ownership::health).
+//! Probe reports: the body of an upstream's answer to a probe, read by
+//! [`health`](crate::ownership::health).
 
 use serde::{Deserialize, Serialize};
 
 /// An upstream's own view of its health and load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Whether it leaves and wants no new work.
+    /// Whether it is draining and takes no new requests.
     #[serde(default)]
     pub draining: bool,
-    /// Requests it runs, by its own count.
+    /// Number of requests in flight, by its own count.
     #[serde(default)]
     pub in_flight: u32,
-    /// Milliseconds since it started; a smaller number than before means that it is cold.
+    /// Milliseconds since it started; a lower value than in the previous report means that it restarted.
     #[serde(default)]
     pub uptime_ms: Option<u64>,
-    /// Slots it offers now; those declared when absent.
+    /// Number of slots it offers now; if absent, the declared number applies.
     #[serde(default)]
     pub slots: Option<u32>,
 }
--- a/crates/steer/src/ownership/request.rs
+++ b/crates/steer/src/ownership/request.rs
@@ -1,43 +1,41 @@
-//! Requests, as the decisions see them.
-//!
-//! Owns a request's id inside one process, and the ways in which it can end. Relies on nothing.
+//! Requests: ids inside one process, offers to an owner, and outcomes.
 
 use std::time::Instant;
 
 use model::id;
 
-/// Names a request within one process.
+/// Identifies a request within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(pub u64);
 
-/// A request that wants a slot of this owner.
+/// A request for a slot of this owner.
 #[derive(Clone, Debug)]
 pub struct Offer {
     /// The request.
     pub id: Id,
     /// The service.
     pub service: id::Service,
-    /// The caller's place, for fairness.
+    /// The caller's place; queues are fair between places.
     pub place: id::Place,
-    /// When the answer is of no use any more.
+    /// When the caller stops waiting for the answer.
     pub deadline: Instant,
-    /// Upstreams that earlier tries used.
+    /// Upstreams of earlier tries, which are not tried again.
     pub avoid: Vec<id::Upstream>,
-    /// Whether it may wait here for a slot; otherwise other owners are asked first.
+    /// Whether it may be queued for a slot; if not, other owners are tried first.
     pub may_wait: bool,
 }
 
 /// How a request ended at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its whole answer arrived.
+    /// The whole answer arrived.
     Answered,
-    /// The upstream proved that it did not run it.
+    /// The upstream refused the request with proof that it did not run it.
     Shed,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// The connection broke, so the upstream may hold it still.
+    /// The connection broke; the upstream may still be running the request.
     Broken,
-    /// This side gave up, so the upstream may hold it still.
+    /// This node gave up; the upstream may still be running the request.
     Abandoned,
 }
--- a/crates/steer/src/ownership/retry.rs
+++ b/crates/steer/src/ownership/retry.rs
@@ -1,21 +1,20 @@
-//! Retries: whether a request that failed may be sent again.
+//! Retries: decides whether a failed request may be sent again.
 //!
-//! Owns the rule and the greatest number of tries. Relies on [`budget`] for second tries that reach an
-//! upstream, so that retries cannot multiply the load of a fleet that is failing.
+//! Retries of requests that reached an upstream are limited by a [`budget`], so that they cannot multiply
+//! the load of a failing fleet.
 
 use model::service;
 use model::verdict;
 
 use crate::ownership::budget;
 
-/// Most times one request is sent to an owner, beside owners that had no slot free at once. Not
-/// measured.
+/// Maximum tries of a request, not counting owners that had no free slot.
 pub const MOST_TRIES: u32 = 3;
 
-/// Decides on one more try of a request that was tried `tries` times.
+/// Returns whether a request that was tried `tries` times may be tried again.
 ///
-/// A request that only met the wrong node costs no upstream anything and is free; one that an
-/// upstream was asked for costs budget.
+/// A retry takes a token of the budget if an upstream was tried, and none if the request only reached a
+/// node that could not run it.
 pub fn may_retry(
     failure: verdict::Failure,
     repetition: service::RetryPolicy,
@@ -24,7 +23,7 @@
 ) -> bool {
     use verdict::{Reason, Verdict};
     match (failure.verdict, failure.reason) {
-        // Another owner is asked, and the last one lets it wait.
+        // The router tries further owners; at the last one the request may wait.
         (Verdict::NotRun, Reason::Busy) => true,
         _ if tries >= MOST_TRIES => false,
         (Verdict::NotRun, Reason::NotHome | Reason::NotReady) => true,
--- a/crates/steer/src/ownership/rotation.rs
+++ b/crates/steer/src/ownership/rotation.rs
@@ -1,7 +1,7 @@
-//! Rotations: in which turn one place's requests for one service go to the regions.
+//! Rotations: distribute one place's requests for one service over the regions.
 //!
-//! Owns the position of the split and the turn. Relies on [`ramp`] so that the split never moves faster
-//! than its cap, and on [`round_robin`] so that requests follow it exactly.
+//! [`ramp`] limits how fast the split moves, so that it keeps to its cap. [`round_robin`] makes the
+//! requests follow the split exactly.
 
 use std::time::Instant;
 
@@ -11,7 +11,7 @@
 use crate::common::split;
 use crate::ownership::round_robin;
 
-/// The moving split of one rotation and the turn of its regions.
+/// The current split of one place and service, and the round robin that follows it.
 #[derive(Clone, Debug)]
 pub struct Rotation {
     ramp: ramp::Limiter,
@@ -19,13 +19,13 @@
 }
 
 impl Rotation {
-    /// Makes a rotation that stands at `position`.
+    /// Creates a rotation with the split `position`.
     #[must_use]
     pub fn new(position: split::Split) -> Self {
         Self { ramp: ramp::Limiter::new(position), round_robin: round_robin::RoundRobin::default() }
     }
 
-    /// Returns where the split stands.
+    /// Returns the current split.
     #[must_use]
     pub fn position(&self) -> &split::Split {
         self.ramp.position()
@@ -33,14 +33,13 @@
 
     /// Returns the region of the next request.
     pub fn next_region(&mut self) -> Option<id::Region> {
-        self.round_robin.turn(self.ramp.position())
+        self.round_robin.next(self.ramp.position())
     }
 
     /// Moves the split toward `target` as the limit allows.
     pub fn advance(&mut self, target: &split::Split, limit: Option<ramp::Limit>, now: Instant) {
         match (target.is_empty(), self.position().is_empty()) {
-            // With no region left there is nothing to move to: stay, so that the ramp goes on from
-            // here once a region is usable again.
+            // No region is usable. Keep the split, so that the ramp continues from it once one is.
             (true, _) => {}
             (false, true) => self.ramp = ramp::Limiter::new(target.clone()),
             (false, false) => {
--- a/crates/steer/src/ownership/round_robin.rs
+++ b/crates/steer/src/ownership/round_robin.rs
@@ -1,11 +1,11 @@
 //! Smooth weighted round robin over regions.
 //!
-//! Each turn adds its share to every region's credit and takes a whole from the richest. After any
-//! number of turns each region has had its share of them, within one request; no random number is
-//! drawn. The method is the well-known one of nginx.
+//! Each call adds to every region's credit its share, and subtracts one whole from the region with the
+//! highest credit, which is returned. After any number of calls each region was returned in proportion
+//! to its share, within one request, without random numbers. This is the algorithm of nginx.
 //!
-//! Owns the credits, in millionths. Gateways have a round robin of their own, which counts in floating
-//! point and can prefer a choice; this one must be exact within one request for the caps to hold.
+//! Credits are integers, in millionths, because the caps hold only if the distribution is exact within
+//! one request. Gateways use another round robin, which counts in floating point and can prefer a choice.
 
 use std::collections;
 
@@ -14,15 +14,15 @@
 
 use crate::common::split;
 
-/// The credits of the regions of one place's requests for one service.
+/// The credits of the regions, for one place's requests for one service.
 #[derive(Clone, Debug, Default)]
 pub struct RoundRobin {
     credits: collections::BTreeMap<id::Region, i64>,
 }
 
 impl RoundRobin {
-    /// Returns the region of the next request under `split`; none when the split is empty.
-    pub fn turn(&mut self, split: &split::Split) -> Option<id::Region> {
+    /// Returns the region of the next request under `split`, or `None` if the split is empty.
+    pub fn next(&mut self, split: &split::Split) -> Option<id::Region> {
         for (region, share) in split.parts() {
             *self.credits.entry(region.clone()).or_insert(0) += i64::from(share);
         }
--- a/crates/steer/src/ownership/router/planning.rs
+++ b/crates/steer/src/ownership/router/planning.rs
@@ -1,7 +1,6 @@
-//! Planning: measures each service, plans its splits, and moves them within the caps.
+//! Planning: measures each service, computes its target splits, and moves the splits within the caps.
 //!
-//! Owns what is measured and the slots that drains take away. Relies on [`planner`] for the targets
-//! and on [`rotation`] for the moves. Runs with every heartbeat.
+//! Runs with every heartbeat. [`planner`] computes the targets and [`rotation`] moves the splits.
 
 use std::collections;
 use std::time::Duration;
@@ -22,25 +21,25 @@
 use crate::ownership::rotation;
 use crate::ownership::summaries;
 
-/// Requests a second below which a service's answer time is assumed and not computed. Not measured.
+/// Rate, in requests per second, up to which a service's latency is assumed instead of computed.
 const LEAST_RATE: f64 = 0.1;
 
-/// Least computed answer time, in seconds. Not measured; it keeps a link's limit above zero.
+/// Minimum computed latency, in seconds; keeps the limit of a link above zero.
 const LEAST_ANSWER_SECONDS: f64 = 0.001;
 
-/// What the planner of one service works from, for reading and for the dump.
+/// The measurements of one service that the planner uses; also part of the dump.
 #[derive(Clone, Debug, Default)]
 pub struct Measured {
     /// Usable slots by region.
     pub capacities: collections::BTreeMap<id::Region, f64>,
-    /// Slots in use by region, waiting requests included.
+    /// Slots in use by region, including queued requests.
     pub in_use: collections::BTreeMap<id::Region, f64>,
-    /// Requests a second by place.
+    /// Requests per second by place.
     pub rates: collections::BTreeMap<id::Place, f64>,
 }
 
 impl Router {
-    /// Plans the target of every rotation and moves its split toward it.
+    /// Computes the target of every rotation and moves its split toward it.
     pub fn plan(&mut self, view: &View<'_>) {
         for stored in view.snapshot.services.values() {
             let measured = self.measure(&stored.spec, view);
@@ -53,17 +52,17 @@
                 rotation.advance(&target, limit, view.now);
             }
         }
-        self.forget(view);
+        self.expire(view);
     }
 
-    /// Starts a rotation where a peer's stands; one that has a position already keeps it.
-    pub fn adopt(&mut self, position: &heartbeat::Position) {
+    /// Creates a rotation with a peer's position; an existing rotation keeps its own.
+    pub fn adopt_position(&mut self, position: &heartbeat::Position) {
         let key = (position.service.clone(), position.place.clone());
         let start = || rotation::Rotation::new(position.split.clone());
         self.rotations.entry(key).or_insert_with(start);
     }
 
-    /// Returns where every split stands.
+    /// Returns the current split of every rotation.
     pub fn positions(&self) -> impl Iterator<Item = heartbeat::Position> {
         self.rotations.iter().map(|((service, place), rotation)| heartbeat::Position {
             service: service.clone(),
@@ -72,7 +71,7 @@
         })
     }
 
-    /// Returns what is measured of a service.
+    /// Returns the measurements of a service.
     #[must_use]
     pub fn measure(&self, service: &service::Service, view: &View<'_>) -> Measured {
         let mut measured = Measured::default();
@@ -98,7 +97,7 @@
             let has_owners = self.owners.contains_key(&(service.name.clone(), region.clone()));
             match (reported.contains(region), has_owners) {
                 (true, true) => *capacity = capacity.min(declared),
-                // No report yet, as when a fleet starts: the declaration stands.
+                // No report yet, as when a fleet starts: use the declared slots.
                 (false, true) => *capacity = declared,
                 (_, false) => *capacity = 0.0,
             }
@@ -106,7 +105,7 @@
         measured
     }
 
-    /// Returns the region of the next request of a place, which is none when no region can take it.
+    /// Returns the region of a place's next request, or `None` if no region can take it.
     pub(super) fn next_region(
         &mut self,
         service: &id::Service,
@@ -118,24 +117,25 @@
         self.rotations.entry(key).or_insert_with(first).next_region()
     }
 
-    /// Forgets rotations of services that are gone, and reports that are too old to say anything.
-    fn forget(&mut self, view: &View<'_>) {
+    /// Removes rotations of deleted services, and reports that are too old to be used.
+    fn expire(&mut self, view: &View<'_>) {
         let is_recent = |at| view.now.saturating_duration_since(at) < summaries::OWNER_LIFE;
         self.rotations.retain(|(service, _), _| view.snapshot.services.contains_key(service));
-        self.summaries.forget(view.now);
+        self.summaries.expire(view.now);
         self.outstanding.retain(|_, count| *count > 0);
         self.reported.retain(|_, reported| is_recent(reported.at));
     }
 }
 
-/// Returns the slots that a region declares, less those that a drain takes soon.
+/// Returns the declared slots of a region, less those under a current or upcoming drain.
 ///
-/// A drain counts from as early before its start as its service's cap needs to move everything.
+/// A drain counts early enough before its start for the cap of the service to move all requests away.
 fn declared_slots(service: &service::Service, region: &id::Region, view: &View<'_>) -> f64 {
     let caps = view.snapshot.caps.values();
     let cap = caps.into_iter().find(|c| c.spec.service == service.name);
     let lead = cap.map_or(Duration::ZERO, |c| {
-        // The ramp uses a little less than the cap, and plans once a heartbeat.
+        // The window is added because the ramp uses slightly less than the cap, and moves splits only
+        // once per heartbeat.
         c.spec.time_to_move(fraction::Fraction::ONE) + c.spec.window
     });
     let soon = |d: &drain::Drain| d.start <= view.wall + lead && view.wall < d.end;
@@ -146,7 +146,7 @@
     undrained.map(|u| f64::from(u.slots)).sum()
 }
 
-/// Returns what each place asks of a service.
+/// Returns the demand of each place for a service.
 fn demands(
     service: &service::Service,
     measured: &Measured,
@@ -154,7 +154,7 @@
 ) -> Vec<planner::Demand> {
     let rate: f64 = measured.rates.values().sum();
     let in_use: f64 = measured.in_use.values().sum();
-    // Little's law: requests in the system are arrivals a second times the time of one.
+    // Little's law: requests in the system = arrival rate * latency.
     let seconds = match rate > LEAST_RATE {
         true => (in_use / rate).max(LEAST_ANSWER_SECONDS),
         false => latency::assumed_seconds(),
@@ -172,8 +172,8 @@
     view.snapshot.places.values().map(|stored| demand(&stored.spec)).collect()
 }
 
-/// Returns the limit that binds a service's splits now; while one of its regions is lost, the
-/// cap's part for that holds.
+/// Returns the limit on the moves of a service's splits. The cap has a separate limit that applies while
+/// a region of the service is lost.
 fn limit(view: &View<'_>, service: &service::Service) -> Option<ramp::Limit> {
     let caps = view.snapshot.caps.values();
     let cap = caps.into_iter().find(|c| c.spec.service == service.name)?;
@@ -181,7 +181,8 @@
     Some(ramp::Limit::of(&cap.spec, is_lost))
 }
 
-/// Returns where a rotation starts that neither planner nor peer has placed: the nearest region.
+/// Returns the initial split of a rotation before the first plan or a peer's position: all requests go
+/// to the nearest region that serves the service.
 fn first_position(service: &id::Service, place: &id::Place, view: &View<'_>) -> split::Split {
     let Some(service) = view.snapshot.services.get(service) else {
         return split::Split::default();
--- a/crates/steer/src/ownership/slow_start.rs
+++ b/crates/steer/src/ownership/slow_start.rs
@@ -1,22 +1,22 @@
-//! Slow start: how many slots of an upstream are used while its caches are cold.
+//! Slow start: limits the slots of an upstream whose caches are cold.
 //!
-//! A cold upstream starts with one slot and is given one more after as many warm answers in a row as it
-//! has slots. Owns that limit and the upstream's mean answer time. Relies on [`latency`] for the mean.
+//! A cold upstream starts with one slot. The limit grows by one after as many consecutive warm answers
+//! as the limit itself.
 
 use std::time::Duration;
 
 use crate::ownership::latency;
 
-/// Slots that a cold upstream starts with. Not measured; it is the least that shows anything.
+/// Initial slots of a cold upstream: the fewest that yield any answers.
 const FIRST_SLOTS: u32 = 1;
 
-/// An answer is warm when it took at most this many times the service's mean. Not measured.
+/// An answer is warm if its latency is at most this many times the service's mean.
 const WARM_RATIO: f64 = 2.0;
 
-/// Weight of a new answer in an upstream's mean answer time. Not measured; about the last ten count.
+/// Weight of a new sample in an upstream's mean latency: averages about the last ten answers.
 const UPSTREAM_LATENCY_WEIGHT: f64 = 0.1;
 
-/// What one upstream has shown since it was last cold.
+/// The slow-start limit of one upstream, and its mean latency since it was last cold.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     limit: u32,
@@ -25,32 +25,32 @@
 }
 
 impl SlowStart {
-    /// Makes the state of an upstream that is cold, as far as is known.
+    /// Creates the state of an upstream that is cold or of unknown state.
     #[must_use]
     pub fn cold() -> Self {
         Self { limit: FIRST_SLOTS, warm_answers: 0, latency: latency::Mean::default() }
     }
 
-    /// Makes the state of an upstream that worked before this node knew it.
+    /// Creates the state of an upstream that ran before this node knew it, which is not limited.
     #[must_use]
     pub fn warm() -> Self {
         Self { limit: u32::MAX, ..Self::cold() }
     }
 
-    /// Returns how many of `slots` may be used.
+    /// Returns the usable slots, at most `slots`.
     #[must_use]
     pub fn limit(&self, slots: u32) -> u32 {
         self.limit.min(slots)
     }
 
-    /// Returns the upstream's mean answer time.
+    /// Returns the upstream's mean latency.
     #[must_use]
     pub fn latency(&self) -> latency::Mean {
         self.latency
     }
 
-    /// Records an answer; `baseline` is the mean at all upstreams of the service.
-    pub fn answered(&mut self, latency: Duration, baseline: latency::Mean, slots: u32) {
+    /// Records an answer; `baseline` is the mean latency over all upstreams of the service.
+    pub fn record_answer(&mut self, latency: Duration, baseline: latency::Mean, slots: u32) {
         self.latency.record(latency, UPSTREAM_LATENCY_WEIGHT);
         let seconds = latency.as_secs_f64();
         let is_warm = baseline.seconds().is_none_or(|base| seconds <= base * WARM_RATIO);
--- a/crates/steer/src/ownership/summaries.rs
+++ b/crates/steer/src/ownership/summaries.rs
@@ -1,7 +1,7 @@
-//! Summaries: what owners and regions report of their slots and arrivals.
+//! Summaries: the slots and arrival rates that owners and regions report.
 //!
-//! Owners' summaries stay inside their region, where every node sums them up; regions' summaries go
-//! everywhere. Owns the last summary of each and when it arrived. Relies on [`heartbeat`] for the form.
+//! Summaries of owners are sent only within their region, where every node adds them up. The resulting
+//! summaries of regions are sent to all nodes.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -11,20 +11,20 @@
 
 use crate::ownership::heartbeat;
 
-/// Age at which an owner's summary is ignored. Not measured; four of its periods.
+/// Age above which an owner's summary is ignored: four of its periods.
 pub const OWNER_LIFE: Duration = Duration::from_secs(4);
 
-/// Age at which a region's summary is ignored. Not measured; six of its periods.
+/// Age above which a region's summary is ignored: six of its periods.
 const REGION_LIFE: Duration = Duration::from_secs(6);
 
-/// Time between two sums of a region. Not measured.
+/// Minimum time between two summaries that this node makes of its region.
 const SUM_PERIOD: Duration = Duration::from_secs(1);
 
-/// Age at which a summary's rates are no longer taken as demand. Not measured; a lost region's demand
-/// must outlive the region's own summary, for the others to make room for it.
+/// Age at which a region's rates are no longer counted as demand. Longer than [`REGION_LIFE`], so that
+/// the other regions still provide for the demand of a lost region.
 const RATES_LIFE: Duration = Duration::from_secs(60);
 
-/// The last summary of each owner and region.
+/// The latest summary of each owner and region.
 #[derive(Debug, Default)]
 pub struct Summaries {
     owners: collections::BTreeMap<(id::Service, member::Key), Received>,
@@ -40,7 +40,7 @@
 }
 
 impl Summaries {
-    /// Records an owner's summary; returns whether it is newer than the last.
+    /// Records an owner's summary; returns whether it is newer than the previous one.
     pub fn record(&mut self, summary: &heartbeat::Summary, now: Instant) -> bool {
         let key = (summary.service.clone(), summary.key.clone());
         match self.owners.get(&key) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the owners' summaries that arrived after `since`, the latest `most` of them.
+    /// Returns the latest `most` of the owners' summaries that arrived after `since`.
     #[must_use]
     pub fn changes(&self, since: Option<Instant>, most: usize) -> Vec<heartbeat::Summary> {
         let is_newer = |received: &&Received| since.is_none_or(|since| received.at > since);
@@ -62,7 +62,7 @@
         newer.into_iter().map(|received| received.summary.clone()).collect()
     }
 
-    /// Records the summary of a whole region; returns whether it is newer than the last.
+    /// Records a region's summary; returns whether it is newer than the previous one.
     pub fn record_region(&mut self, summary: &heartbeat::Summary, now: Instant) -> bool {
         let key = (summary.service.clone(), summary.region.clone());
         match self.regions.get(&key) {
@@ -74,11 +74,11 @@
         }
     }
 
-    /// Sums up this node's own region, once in every `SUM_PERIOD`.
+    /// Makes the summary of this node's region, at most once per `SUM_PERIOD`.
     ///
-    /// Every node of the region does so. The results are ordered as by Lamport's clock: each takes
-    /// the number after the greatest it knows, so that a sum without an owner that died is
-    /// newer than the sums before it.
+    /// Every node of the region does so. Sequence numbers work like a Lamport clock: each summary gets
+    /// the number after the highest known one, so that a summary without a dead owner supersedes the
+    /// earlier ones.
     pub fn sum_up(&mut self, me: &heartbeat::Member, now: Instant) {
         let recent = |at: Instant| now.saturating_duration_since(at) < SUM_PERIOD;
         if self.summed.is_some_and(recent) {
@@ -87,8 +87,9 @@
         self.summed = Some(now);
         let mut sums: collections::BTreeMap<id::Service, heartbeat::Summary> =
             collections::BTreeMap::new();
-        let is_fresh = |h: &&Received| now.saturating_duration_since(h.at) <= OWNER_LIFE;
-        let owners = self.owners.values().filter(is_fresh).map(|h| &h.summary);
+        let is_fresh =
+            |received: &&Received| now.saturating_duration_since(received.at) <= OWNER_LIFE;
+        let owners = self.owners.values().filter(is_fresh).map(|received| &received.summary);
         for summary in owners.filter(|s| s.region == me.region) {
             match sums.get_mut(&summary.service) {
                 Some(sum) => add(sum, summary),
@@ -112,13 +113,14 @@
         self.regions.values().filter(is_newer).map(|received| received.summary.clone()).collect()
     }
 
-    /// Returns the regions' summaries that still count.
+    /// Returns the regions' summaries that are not older than `REGION_LIFE`.
     pub fn fresh_regions(&self, now: Instant) -> impl Iterator<Item = &heartbeat::Summary> {
-        let fresh = move |h: &&Received| now.saturating_duration_since(h.at) <= REGION_LIFE;
+        let fresh =
+            move |received: &&Received| now.saturating_duration_since(received.at) <= REGION_LIFE;
         self.regions.values().filter(fresh).map(|received| &received.summary)
     }
 
-    /// Returns the regions' summaries of a service, and whether each still counts.
+    /// Returns the regions' summaries of a service, each with whether it is not older than `REGION_LIFE`.
     pub fn regions_of<'a>(
         &'a self,
         service: &'a id::Service,
@@ -127,19 +129,20 @@
         let first = (service.clone(), id::Region::new(""));
         let of_service = self.regions.range(first..);
         let of_service = of_service.take_while(move |((name, _), _)| name == service);
-        let is_fresh = move |h: &Received| now.saturating_duration_since(h.at) <= REGION_LIFE;
+        let is_fresh =
+            move |received: &Received| now.saturating_duration_since(received.at) <= REGION_LIFE;
         of_service.map(move |(_, received)| (&received.summary, is_fresh(received)))
     }
 
-    /// Forgets what is too old to be read.
-    pub fn forget(&mut self, now: Instant) {
+    /// Removes summaries that are too old to be used.
+    pub fn expire(&mut self, now: Instant) {
         let age = |received: &Received| now.saturating_duration_since(received.at);
         self.owners.retain(|_, received| age(received) < OWNER_LIFE);
         self.regions.retain(|_, received| age(received) < RATES_LIFE);
     }
 }
 
-/// Adds an owner's summary to its region's.
+/// Adds an owner's summary to that of its region.
 fn add(sum: &mut heartbeat::Summary, owner: &heartbeat::Summary) {
     sum.usable += owner.usable;
     sum.in_flight += owner.in_flight;
--- a/crates/steer/src/ownership/vms.rs
+++ b/crates/steer/src/ownership/vms.rs
@@ -1,16 +1,14 @@
-//! The platform's list of VMs, which lags.
-//!
-//! Owns the form, as the list is read, and what an empty list means. Relies on nothing.
+//! The platform's list of VMs, which may be out of date.
 
 use std::collections;
 use std::net;
 
 use serde::{Deserialize, Serialize};
 
-/// Which VMs live and which are leaving, by address.
+/// The running and leaving VMs, by address.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// The VMs; one that is gone is not listed.
+    /// The state of each VM; a VM that is gone is not listed.
     pub vms: collections::BTreeMap<net::IpAddr, State>,
 }
 
@@ -18,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It runs.
+    /// It is running.
     Live,
     /// It will stop soon.
     Leaving,
@@ -31,7 +29,7 @@
         self.vms.get(&address) == Some(&State::Leaving)
     }
 
-    /// Returns whether the VM is gone. An empty list proves nothing.
+    /// Returns whether the VM is gone. An empty list does not prove that.
     #[must_use]
     pub fn is_gone(&self, address: net::IpAddr) -> bool {
         !self.vms.is_empty() && !self.vms.contains_key(&address)
--- a/crates/steer/tests/caps.rs
+++ b/crates/steer/tests/caps.rs
@@ -41,7 +41,7 @@
         let mut round_robin = RoundRobin::default();
         let mut counts: BTreeMap<id::Region, f64> = BTreeMap::new();
         for _ in 0..turns {
-            if let Some(region) = round_robin.turn(&split) {
+            if let Some(region) = round_robin.next(&split) {
                 *counts.entry(region).or_insert(0.0) += 1.0;
             }
         }
