--- a/crates/steer/tests/dispatch/choice.rs
+++ b/crates/steer/tests/dispatch/choice.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_request_waits_for_the_upstream_that_has_its_object_cached_if_that_is_faster() {
+fn request_waits_for_upstream_with_cached_object_if_faster() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     setup::set(&mut dispatcher, &setup::six_upstreams()[..2], now);
--- a/crates/steer/tests/dispatch/entries.rs
+++ b/crates/steer/tests/dispatch/entries.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn entries_that_lapse_while_their_source_is_unavailable_are_used_for_a_limited_time() {
+fn entries_lapsed_during_source_failure_are_used_temporarily() {
     let began = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     setup::set(&mut dispatcher, &setup::six_upstreams(), began);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn drain_an_entry_removed_while_its_source_works_is_dropped_immediately() {
+fn drain_entry_removed_by_working_source_drops_immediately() {
     let began = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     setup::set(&mut dispatcher, &setup::six_upstreams(), began);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn drain_a_leaving_upstream_is_not_kept_when_its_entry_lapses() {
+fn drain_leaving_upstream_is_dropped_with_lapsed_entry() {
     let began = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let mut leaving = setup::entry("i-0", "n-1");
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn most_entries_vanishing_together_are_treated_as_lapsed_for_half_of_the_bound() {
+fn entries_removed_together_lapse_for_half_the_bound() {
     let began = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     setup::set(&mut dispatcher, &setup::six_upstreams(), began);
@@ -109,7 +109,7 @@
 /// The bound on leaving upstreams applies to a node once `bounds.contact` has passed since its last
 /// failed call to the source of entries. From then on it must not use an upstream without an entry.
 #[test]
-fn drain_no_upstream_without_an_entry_is_used_after_the_contact_period() {
+fn drain_upstream_without_entry_is_unused_after_contact() {
     let bounds = bounds::Bounds::default();
     let failed = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
@@ -125,7 +125,7 @@
 /// The bound on leaving upstreams also applies between two ticks and includes the time that a change
 /// takes to reach the node.
 #[test]
-fn drain_an_upstream_without_an_entry_is_used_for_less_than_the_bound() {
+fn drain_upstream_without_entry_is_dropped_before_bound() {
     /// Time that a change normally takes to reach a node.
     const PROPAGATION_TIME: Duration = Duration::from_millis(500);
     let bounds = bounds::Bounds::default();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_restarted_upstream_with_the_same_name_has_no_previous_state() {
+fn restarted_upstream_with_same_name_starts_without_state() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let original = discovery::Entry { born: 1, ..setup::entry("i-0", "n-1") };
--- a/crates/steer/tests/dispatch/health.rs
+++ b/crates/steer/tests/dispatch/health.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_upstream_whose_only_attempt_broke_is_not_considered_silent() {
+fn upstream_with_one_broken_attempt_is_not_silent() {
     let now = Instant::now();
     for outcome in [outcome::Outcome::Broken, outcome::Outcome::Abandoned] {
         let mut dispatcher = setup::dispatcher("n");
--- a/crates/steer/tests/dispatch/limits.rs
+++ b/crates/steer/tests/dispatch/limits.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_latest_response_is_valid_whichever_node_received_or_reported_it() {
+fn latest_response_applies_from_whichever_node_it_comes() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let entry = setup::entry("i-0", "n-1");
@@ -87,7 +87,7 @@
 /// Requests that exceed the limits of a region must not flood another region beyond the operator's
 /// shift limit.
 #[test]
-fn requests_over_the_limits_of_a_region_leave_it_within_the_cap_or_are_refused() {
+fn requests_over_regional_limits_are_refused_beyond_the_cap() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let entries = setup::six_upstreams();
--- a/crates/steer/tests/dispatch/regions.rs
+++ b/crates/steer/tests/dispatch/regions.rs
@@ -11,7 +11,7 @@
 use crate::setup;
 
 #[test]
-fn home_only_home_regions_serve_a_route_that_names_some() {
+fn home_only_home_regions_serve_routes_naming_some() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     setup::set(&mut dispatcher, &setup::six_upstreams(), now);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn shift_the_share_of_a_failing_region_moves_no_faster_than_the_bound() {
+fn shift_share_of_failing_region_moves_within_the_bound() {
     let began = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let all = setup::six_upstreams();
@@ -121,7 +121,7 @@
         true
     }
 
-    fn all_nodes_agree_on_the_owner_of_a_cold_upstream(names: Vec<u16>, upstream: u16) -> bool {
+    fn all_nodes_agree_on_cold_upstream_owner(names: Vec<u16>, upstream: u16) -> bool {
         let nodes: Vec<id::Node> = names.iter().map(|n| id::Node::new(&n.to_string())).collect();
         let upstream = id::Upstream::new(&upstream.to_string());
         let forward = slow_start_owner::owner(&upstream, nodes.iter());
--- a/crates/steer/tests/dispatch/restarts.rs
+++ b/crates/steer/tests/dispatch/restarts.rs
@@ -36,7 +36,7 @@
 /// Guards against each restarted node having its full part of the slack again, which gave a service
 /// with little traffic more retries than the fleet may send while twelve nodes were restarted in turn.
 #[test]
-fn a_rolling_restart_of_the_fleet_keeps_the_retry_budget() {
+fn rolling_restart_of_fleet_keeps_the_retry_budget() {
     let start = Instant::now();
     let service = id::Service::new("desk");
     let entry = setup::entry("i-0", "n-1");
@@ -72,7 +72,7 @@
 /// The owner restarts four times per second, and the upstream must still get no more than its rate and
 /// the permitted margin.
 #[test]
-fn a_cold_upstream_whose_owner_restarts_repeatedly_is_not_overloaded() {
+fn cold_upstream_is_not_overloaded_by_restarting_owner() {
     let start = Instant::now();
     let mut cold = setup::entry("i-0", "n-1");
     cold.cold_left = Duration::from_secs(3);
--- a/crates/steer/tests/dispatch/slow_start.rs
+++ b/crates/steer/tests/dispatch/slow_start.rs
@@ -9,7 +9,7 @@
 use crate::setup;
 
 #[test]
-fn failback_a_cold_upstream_has_one_owner_and_is_not_overloaded() {
+fn failback_cold_upstream_has_one_owner_without_overload() {
     let began = Instant::now();
     let nodes: Vec<id::Node> = (0..8).map(|n| id::Node::new(&format!("n-{n}"))).collect();
     let mut cold = setup::entry("i-0", "n-1");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn failback_upstreams_of_a_hall_are_cold_after_its_evacuation_ends() {
+fn failback_hall_upstreams_are_cold_after_evacuation_ends() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     dispatcher.configure(setup::rules(10.0));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn failback_a_cold_upstream_is_owned_by_a_node_of_its_region_if_there_is_one() {
+fn failback_cold_upstream_prefers_owner_in_its_region() {
     let names = |names: &[&str]| names.iter().map(|n| id::Node::new(n)).collect::<Vec<_>>();
     let (north, south) = (id::Region::new("north"), id::Region::new("south"));
     let listed: collections::BTreeMap<_, _> =
--- a/crates/steer/tests/dispatch/statements.rs
+++ b/crates/steer/tests/dispatch/statements.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_process_is_still_leaving_after_its_entry_returns_but_a_new_process_is_not() {
+fn returning_process_is_still_leaving_unlike_a_new_one() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     setup::set(&mut dispatcher, &[entry_born(1)], now);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_announcement_applies_to_an_upstream_that_is_discovered_later() {
+fn announcement_applies_to_upstream_discovered_later() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let reported = [Announcement {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_rest_ends_after_its_time_or_with_the_process_and_is_never_shortened() {
+fn rest_ends_with_time_or_process_never_earlier() {
     let now = Instant::now();
     let at = |millis| now + Duration::from_millis(millis);
     let mut dispatcher = setup::dispatcher("n");
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn if_all_upstreams_rest_retry_delays_are_spread_after_the_earliest_end() {
+fn retry_delays_are_spread_after_the_earliest_rest() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let entries = [setup::entry("i-0", "n-1"), setup::entry("i-1", "n-1")];
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_resting_or_leaving_upstream_adds_no_capacity_and_is_not_a_failure() {
+fn resting_or_leaving_is_neither_working_nor_failed() {
     let now = Instant::now();
     let mut dispatcher = setup::dispatcher("n");
     let entries = [setup::entry("i-0", "n-1"), setup::entry("i-1", "n-1")];
--- a/crates/steer/tests/execution.rs
+++ b/crates/steer/tests/execution.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn not_run_statement_is_valid_for_any_error_status_but_not_for_a_success() {
+fn not_run_statement_is_valid_for_errors_only() {
     for status in [400, 404, 408, 429, 500, 502, 503] {
         let with_statement = head::Response { states_not_run: true, ..answer(status) };
         assert_eq!(execution(&with_statement), Execution::NotRun, "{status}");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn response_without_id_is_valid_for_a_request_without_id() {
+fn response_may_lack_id_if_request_lacks_one() {
     let without_id = head::Response { request_id: None, ..answer(200) };
     assert_eq!(fault(&without_id, ALL_REQUIRED, ""), None);
     assert_eq!(fault(&without_id, ALL_REQUIRED, "id"), Some(Fault::OtherRequest));
--- a/crates/steer/tests/load/replays.rs
+++ b/crates/steer/tests/load/replays.rs
@@ -58,7 +58,7 @@
 ///
 /// Without priorities, 13.6 % of the urgent requests are refused and 67.1 % are in time.
 #[test]
-fn priority_urgent_requests_are_in_time_if_capacity_is_short() {
+fn priority_urgent_requests_are_in_time_under_overload() {
     let plan = two_routes(34.0, 100.0);
     let refused = mean_share(&plan, "urgent", |tally| tally.refused);
     assert!(refused <= 0.02, "{refused:.3} refused");
@@ -94,7 +94,7 @@
 /// If the processing time at other upstreams is not measured, 48.8 % of the requests are for evicted
 /// objects.
 #[test]
-fn seen_objects_upstreams_with_small_caches_keep_their_own_objects() {
+fn seen_objects_small_caches_keep_their_own_objects() {
     let mut plan = plan(vec![region("a", 6)], 5, vec![load("reads", 0, 250 * MS, 120.0)]);
     plan.cache_size = 6;
     let evicted = mean_share(&plan, "reads", |tally| tally.cache_misses);
@@ -105,7 +105,7 @@
 ///
 /// Without the rule, 34.3 % of its requests are in time.
 #[test]
-fn distance_a_small_region_keeps_requests_that_others_would_answer_late() {
+fn distance_small_region_keeps_requests_others_answer_late() {
     let regions = vec![region("small", 2), region("b", 8), region("c", 8)];
     let mut plan = plan(regions, 5, vec![load("reads", 0, 250 * MS, 75.0)]);
     plan.latency = 90 * MS;
@@ -135,7 +135,7 @@
 /// If only queueing times are compared, 88.6 % of the requests are in time, since objects that leave
 /// their region are not cached in the other one.
 #[test]
-fn overflow_leaves_a_congested_region_only_for_a_sooner_response() {
+fn overflow_leaves_congested_region_only_for_sooner_response() {
     let regions = vec![region("small", 2), region("b", 6), region("c", 6)];
     let mut load = load("reads", 0, 250 * MS, 190.0);
     load.objects = 90;
@@ -163,7 +163,7 @@
 /// are cold. In a window of five seconds, they then gave 1.5 % instead of 4 % of the responses, all of
 /// them after they were warm.
 #[test]
-fn join_cold_upstreams_get_requests_at_once_without_delaying_them() {
+fn join_cold_upstreams_serve_immediately_without_delaying_requests() {
     let (in_time, at_joined) = simulate_join(0);
     println!("{in_time:.3} in time, {at_joined:.4} answered by new upstreams");
     let (in_time_idle, at_joined_idle) = simulate_join(90);
--- a/crates/steer/tests/quota/main.rs
+++ b/crates/steer/tests/quota/main.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_organisation_above_its_limit_stays_within_it_and_gets_most_of_it() {
+fn admitted_requests_use_most_but_never_exceed_limit() {
     for nodes in [3, 12, 40] {
         for rate in [5.0, RATE, 400.0] {
             let load = Load::surge(rate / 1.6, 7.5);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_organisation_above_its_limit_stays_within_it_while_nodes_are_isolated_killed_or_restarted() {
+fn admitted_requests_stay_within_the_limit_despite_faults() {
     let faults = [
         ("isolated", Fault::isolated(0.35)),
         ("killed", Fault::killed(0.55)),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_organisation_below_its_limit_is_hardly_refused_while_nodes_are_down() {
+fn hardly_any_refusals_below_limit_while_nodes_are_down() {
     for (name, fault) in [("killed", Fault::killed(0.5)), ("isolated", Fault::isolated(0.35))] {
         let outcome = Fleet::new(27, RATE, RATE).simulate(&Load::steady(RATE / 1.6), &fault);
         let share = outcome.refused_share();
@@ -83,7 +83,7 @@
 /// again. A deployment of 75 nodes refused a third of its requests although they were below the limits (`reason=over-quota`,
 /// 56,083 of 78,193 log lines), and no test of the limits detected it.
 #[test]
-fn an_organisation_below_its_limit_is_hardly_refused_when_reports_jitter() {
+fn hardly_any_refusals_below_limit_when_reports_jitter() {
     for nodes in [3, 12, 40] {
         for burst in [0.0, RATE] {
             let mut fleet = Fleet::new(nodes, RATE, burst);
@@ -131,14 +131,14 @@
 }
 
 #[test]
-fn the_implemented_strategy_keeps_the_limit_where_others_exceed_it_or_refuse_more() {
+fn implemented_strategy_keeps_limit_without_refusals_below_it() {
     compare_strategies(12);
     compare_strategies(40);
 }
 
 #[test]
 #[ignore = "takes minutes without optimisation"]
-fn the_implemented_strategy_keeps_the_limit_in_a_large_fleet() {
+fn implemented_strategy_keeps_limit_in_a_large_fleet() {
     compare_strategies(75);
     compare_strategies(300);
 }
--- a/crates/steer/tests/retry.rs
+++ b/crates/steer/tests/retry.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn refused_request_is_retried_within_attempt_limit_body_and_budget() {
+fn refused_request_retries_within_attempts_body_and_budget() {
     let now = Instant::now();
     let route = route(route::Kind::NonIdempotent, 2);
     let refused = retry::Next::GiveUp(give_up::Reason::Refused);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn request_that_may_have_run_is_retried_only_on_repeatable_routes() {
+fn possibly_run_requests_retry_only_on_repeatable_routes() {
     let now = Instant::now();
     let broken = || retry::Outcome::Broken("reset".to_owned());
     let may_have_run = give_up::Reason::MayHaveRun;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn failed_connections_use_no_retry_and_the_sixth_fails_the_request() {
+fn sixth_failed_connection_ends_request_without_using_retries() {
     let now = Instant::now();
     let route = route(route::Kind::NonIdempotent, 1);
     let mut dispatcher = dispatcher(8, now);
--- a/crates/steer/tests/upstream_limit/main.rs
+++ b/crates/steer/tests/upstream_limit/main.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_limit_is_kept_and_used_by_any_number_of_nodes() {
+fn limit_is_kept_and_used_at_any_fleet_size() {
     for nodes in [1, 2, 3, 12, 75] {
         for limit in [0.5, 3.0, 9.0, 40.0] {
             for factor in [1.5, 4.0, 20.0] {
@@ -93,7 +93,7 @@
 
 /// The limit is used although all but a tenth of the nodes have few requests.
 #[test]
-fn a_limit_is_kept_and_used_when_nodes_have_uneven_loads() {
+fn limit_is_kept_and_used_under_uneven_loads() {
     for nodes in [12, 75] {
         let fleet = Fleet { skew: 0.8, ..Fleet::new(nodes, 60.0, 9.0) };
         let outcome = fleet.simulate();
@@ -124,7 +124,7 @@
 
 /// An upstream with a limit of zero is tried now and then, since only a response shows that the limit has ended.
 #[test]
-fn an_upstream_with_a_limit_of_zero_is_tried_now_and_then() {
+fn upstream_with_zero_limit_is_tried_occasionally() {
     let limits = [(5, Some(0.0)), (20, None)];
     let change = |(from, limit)| LimitChange { from: seconds(from), limit };
     let fleet = Fleet { limit_changes: limits.map(change).to_vec(), ..Fleet::new(12, 60.0, 1.0) };
