--- a/crates/steer/tests/dispatch/entries.rs
+++ b/crates/steer/tests/dispatch/entries.rs
@@ -122,8 +122,8 @@
     assert!(matches!(refused, Err(refusal::Refusal::NoUpstream(_))), "{refused:?}");
 }
 
-/// The bound on leaving upstreams also applies between two ticks and includes the time that a change
-/// takes to reach the node.
+/// The bound on leaving upstreams also applies between two ticks and includes the time that a
+/// change takes to reach the node.
 #[test]
 fn drain_upstream_without_entry_is_dropped_before_bound() {
     /// Time that a change normally takes to reach a node.
--- a/crates/steer/tests/dispatch/health.rs
+++ b/crates/steer/tests/dispatch/health.rs
@@ -36,7 +36,8 @@
         let later = now + Duration::from_secs(60);
         let again =
             setup::choose(&mut dispatcher, &setup::route(&[]), 1, later).expect("both are healthy");
-        // A broken attempt raises its cost temporarily, but by less than a second upstream's factor.
+        // A broken attempt raises its cost temporarily, but by less than a second upstream's
+        // factor.
         assert_eq!(first.id, again.id, "{outcome:?}");
     }
 }
--- a/crates/steer/tests/dispatch/regions.rs
+++ b/crates/steer/tests/dispatch/regions.rs
@@ -77,8 +77,8 @@
             in_south += 1;
         }
     }
-    // North has half of the slots of the home regions, so its target share is all of its own demand. A
-    // bound of a tenth lets 3 in 100 requests leave, plus a small burst.
+    // North has half of the slots of the home regions, so its target share is all of its own
+    // demand. A bound of a tenth lets 3 in 100 requests leave, plus a small burst.
     assert!((1..=asked * 3 / 100 + 3).contains(&in_south), "{in_south}");
 }
 
--- a/crates/steer/tests/dispatch/restarts.rs
+++ b/crates/steer/tests/dispatch/restarts.rs
@@ -34,7 +34,8 @@
 }
 
 /// Guards against each restarted node having its full part of the slack again, which gave a service
-/// with little traffic more retries than the fleet may send while twelve nodes were restarted in turn.
+/// with little traffic more retries than the fleet may send while twelve nodes were restarted in
+/// turn.
 #[test]
 fn rolling_restart_of_fleet_keeps_the_retry_budget() {
     let start = Instant::now();
@@ -69,8 +70,8 @@
     assert!(most <= granted, "{most} retries in a window, at most {granted} allowed");
 }
 
-/// The owner restarts four times per second, and the upstream must still get no more than its rate and
-/// the permitted margin.
+/// The owner restarts four times per second, and the upstream must still get no more than its rate
+/// and the permitted margin.
 #[test]
 fn cold_upstream_is_not_overloaded_by_restarting_owner() {
     let start = Instant::now();
--- a/crates/steer/tests/load/deployment.rs
+++ b/crates/steer/tests/load/deployment.rs
@@ -1,8 +1,8 @@
 //! Discrete-event simulation of a deployment: upstreams with slots, a queue and an object cache.
 //!
-//! The gateways run the real dispatchers and report their loads to each other. All random values derive
-//! from one seed and time is virtual, so a simulation is reproducible. Requests are not retried: a
-//! refusal by an upstream ends them.
+//! The gateways run the real dispatchers and report their loads to each other. All random values
+//! derive from one seed and time is virtual, so a simulation is reproducible. Requests are not
+//! retried: a refusal by an upstream ends them.
 
 use std::cmp;
 use std::collections;
@@ -74,8 +74,8 @@
     pub join: Option<Join>,
 }
 
-/// Cold upstreams with empty caches that join every region at the same time. While cold, they handle few
-/// requests and process them slowly.
+/// Cold upstreams with empty caches that join every region at the same time. While cold, they
+/// handle few requests and process them slowly.
 #[derive(Clone, Debug)]
 pub struct Join {
     pub at: Duration,
--- a/crates/steer/tests/load/replays.rs
+++ b/crates/steer/tests/load/replays.rs
@@ -1,5 +1,5 @@
-//! Simulated loads and their results. Each test states the result without the rule that it covers, for
-//! the same seeds.
+//! Simulated loads and their results. Each test states the result without the rule that it covers,
+//! for the same seeds.
 
 use std::time::Duration;
 
@@ -47,8 +47,8 @@
     SEEDS.map(share).iter().sum::<f64>() / SEEDS.len() as f64
 }
 
-/// Two routes of one service, with `urgent` requests per second on the urgent route and `patient` on the
-/// less urgent one, in each of three regions.
+/// Two routes of one service, with `urgent` requests per second on the urgent route and `patient`
+/// on the less urgent one, in each of three regions.
 fn two_routes(urgent: f64, patient: f64) -> Plan {
     let loads = vec![load("urgent", 0, 250 * MS, urgent), load("patient", 2, 250 * MS, patient)];
     plan(vec![region("a", 3), region("b", 3), region("c", 3)], 5, loads)
@@ -81,7 +81,8 @@
 
 /// Many upstreams with one slot each, at seven tenths of their capacity.
 ///
-/// If upstreams that have seen an object cost as much as any other, 78.8 % of the requests are in time.
+/// If upstreams that have seen an object cost as much as any other, 78.8 % of the requests are in
+/// time.
 #[test]
 fn seen_objects_upstreams_with_one_slot_share_objects() {
     let plan = plan(vec![region("a", 24)], 1, vec![load("reads", 0, 250 * MS, 150.0)]);
@@ -91,8 +92,8 @@
 
 /// Upstreams that cache six of the ten objects requested from each.
 ///
-/// If the processing time at other upstreams is not measured, 48.8 % of the requests are for evicted
-/// objects.
+/// If the processing time at other upstreams is not measured, 48.8 % of the requests are for
+/// evicted objects.
 #[test]
 fn seen_objects_small_caches_keep_their_own_objects() {
     let mut plan = plan(vec![region("a", 6)], 5, vec![load("reads", 0, 250 * MS, 120.0)]);
@@ -103,7 +104,7 @@
 
 /// A small region whose neighbours cannot respond within the target latency.
 ///
-/// Without the rule, 34.3 % of its requests are in time.
+/// Without the rule, 34.3 % of the region's requests are in time.
 #[test]
 fn distance_small_region_keeps_requests_others_answer_late() {
     let regions = vec![region("small", 2), region("b", 8), region("c", 8)];
@@ -119,8 +120,8 @@
 
 /// Three regions of unequal capacity, so that many objects are served by two regions.
 ///
-/// With a lead of 5 requests, 1.42 % of the requests are for objects new to their upstream, and with a
-/// lead of 1, 2.13 %.
+/// With a lead of 5 requests, 1.42 % of the requests are for objects new to their upstream, and
+/// with a lead of 1, 2.13 %.
 #[test]
 fn lead_objects_stay_in_their_region() {
     let regions = vec![region("small", 2), region("b", 8), region("c", 8)];
@@ -132,8 +133,8 @@
 
 /// Three regions near their capacity, one of which has too few upstreams for its objects.
 ///
-/// If only queueing times are compared, 88.6 % of the requests are in time, since objects that leave
-/// their region are not cached in the other one.
+/// If only queueing times are compared, 88.6 % of the requests are in time, since objects that
+/// leave their region are not cached in the other region.
 #[test]
 fn overflow_leaves_congested_region_only_for_sooner_response() {
     let regions = vec![region("small", 2), region("b", 6), region("c", 6)];
@@ -146,8 +147,8 @@
 /// Three tenths more upstreams, cold and with empty caches, join each busy region. In each region,
 /// `idle_owners` nodes without traffic may own cold upstreams as well.
 ///
-/// Returns the share of requests in time and the share answered by the new upstreams, both in the three
-/// seconds during which these are cold.
+/// Returns the share of requests in time and the share answered by the new upstreams, both in the
+/// three seconds during which these are cold.
 fn simulate_join(idle_owners: usize) -> (f64, f64) {
     let mut load = load("reads", 0, 250 * MS, 230.0);
     load.objects = 100;
@@ -159,9 +160,9 @@
     (in_time, mean_share(&plan, "reads", |tally| tally.at_joined))
 }
 
-/// Guards against nodes without traffic owning cold upstreams, which then get no requests while they
-/// are cold. In a window of five seconds, they then gave 1.5 % instead of 4 % of the responses, all of
-/// them after they were warm.
+/// Guards against nodes without traffic owning cold upstreams, which then get no requests while
+/// they are cold. In a window of five seconds, they then gave 1.5 % instead of 4 % of the
+/// responses, all of them after they were warm.
 #[test]
 fn join_cold_upstreams_serve_immediately_without_delaying_requests() {
     let (in_time, at_joined) = simulate_join(0);
--- a/crates/steer/tests/quota/main.rs
+++ b/crates/steer/tests/quota/main.rs
@@ -1,7 +1,8 @@
-//! Quotas of a fleet: the requests of an organisation that all nodes together admit, compared with an exact token bucket.
+//! Quotas of a fleet: the requests of an organisation that all nodes together admit, compared with
+//! an exact token bucket.
 //!
-//! The nodes run the real code, while their reports arrive late and some are lost. [`strategies`] holds rejected strategies,
-//! which are compared on the same requests.
+//! The nodes run the real code, while their reports arrive late and some are lost. [`strategies`]
+//! holds rejected strategies, which are compared on the same requests.
 
 mod random_fleets;
 mod simulation;
@@ -79,16 +80,18 @@
     }
 }
 
-/// Guards against a late report of a falling rate being mistaken for a restart of its node, so that its whole rate was deducted
-/// again. A deployment of 75 nodes refused a third of its requests although they were below the limits (`reason=over-quota`,
-/// 56,083 of 78,193 log lines), and no test of the limits detected it.
+/// Guards against a late report of a falling rate being mistaken for a restart of its node, so that
+/// the node's whole rate was deducted again. A deployment of 75 nodes refused a third of its
+/// requests although the requests were below the limits (`reason=over-quota`, 56,083 of 78,193 log
+/// lines), and no test of the limits detected it.
 #[test]
 fn hardly_any_refusals_below_limit_when_reports_jitter() {
     for nodes in [3, 12, 40] {
         for burst in [0.0, RATE] {
             let mut fleet = Fleet::new(nodes, RATE, burst);
             fleet.jitter = Some(Duration::from_millis(400));
-            // The surge reaches 0.8 of the limit. At 0.9, even an exact bucket without a burst refuses some requests.
+            // The surge reaches 0.8 of the limit. At 0.9, even an exact bucket without a burst
+            // refuses some requests.
             let outcome = fleet.simulate(&Load::surge(RATE / 2.0, 1.6), &Fault::none());
             let share = outcome.refused_share();
             assert!(share < 0.02, "{nodes} nodes, burst {burst}: {share}");
--- a/crates/steer/tests/quota/random_fleets.rs
+++ b/crates/steer/tests/quota/random_fleets.rs
@@ -1,11 +1,14 @@
-//! Randomly generated fleets of any size, limit, burst and load, with several faults that may overlap and repeat.
+//! Randomly generated fleets of any size, limit, burst and load, with several faults that may
+//! overlap and repeat.
 //!
-//! Guards against fleets exceeding their limit when the burst is smaller than the rate or when nodes restart. A node used to
-//! admit freely until the rate that it knew of reached the limit, any excess beyond the burst was forgotten, and restarted
-//! nodes knew nothing of it. Of 480 generated fleets, 61 exceeded what is granted, the worst by 0.358.
+//! Guards against fleets exceeding their limit when the burst is smaller than the rate or when
+//! nodes restart. A node used to admit freely until the rate that it knew of reached the limit, any
+//! excess beyond the burst was forgotten, and restarted nodes knew nothing of that excess. Of 480
+//! generated fleets, 61 exceeded what is granted, the worst by 0.358.
 //!
-//! A failing case shrinks to one with fewer faults and nodes; add its seed to `FAILED`. `YOKESPOKE_CASES` and `YOKESPOKE_SEED`
-//! set the number of cases and the first seed of the long test.
+//! A failing case shrinks to one with fewer faults and nodes; add its seed to `FAILED`.
+//! `YOKESPOKE_CASES` and `YOKESPOKE_SEED` set the number of cases and the first seed of the long
+//! test.
 
 use std::env;
 use std::time::Duration;
@@ -16,7 +19,8 @@
 use crate::simulation::{Fault, FaultKind, Fleet, LimitChange, Load};
 use crate::{WINDOW, granted};
 
-/// Smallest and largest number of nodes. Half of the fleets have fewer than eight, where each node matters most.
+/// Smallest and largest number of nodes. Half of the fleets have fewer than eight, where each node
+/// matters most.
 const NODES: (f64, f64) = (2.0, 300.0);
 
 /// Largest random delay of a report in every fleet.
@@ -191,8 +195,9 @@
     }
 }
 
-/// A fifth of 172 nodes are isolated, and two thirds of the others are killed and come back. The restarted nodes do not know how
-/// much the isolated ones still take, so the shares of both add up to more than the limit: 1.075 of what is granted.
+/// A fifth of 172 nodes are isolated, and two thirds of the others are killed and come back. The
+/// restarted nodes do not know how much the isolated nodes still take, so the shares of both groups
+/// add up to more than the limit: 1.075 of what is granted.
 #[test]
 fn a_fleet_that_comes_back_while_others_are_cut_off_keeps_the_limit() {
     let case = Case::random(10_000_240);
@@ -200,8 +205,9 @@
     assert!(ratio <= 1.0, "{ratio:.3} of what is granted: {case:?}");
 }
 
-/// One of eight nodes is isolated 10 ms before a sudden load, while reports are lost. Until both sides detect it, both spend the
-/// burst of three times the rate: 1.034 of what is granted, and 1.008 since a node without reports takes at most an equal share.
+/// One of eight nodes is isolated 10 ms before a sudden load, while reports are lost. Until both
+/// sides detect the partition, both spend the burst of three times the rate: 1.034 of what is
+/// granted, and 1.008 since a node without reports takes at most an equal share.
 #[test]
 fn a_fleet_that_is_cut_in_two_before_a_sudden_load_keeps_the_limit() {
     let case = Case::random(10_000_435);
@@ -215,8 +221,8 @@
         Self { surge_factor: 1.0, change: None, ..Self::random(seed) }
     }
 
-    /// Returns the number of requests that the fleet refuses, and the number that an exact bucket of the whole fleet would
-    /// refuse.
+    /// Returns the number of requests that the fleet refuses, and the number that an exact bucket
+    /// of the whole fleet would refuse.
     fn refused(&self) -> (usize, usize) {
         let mut fleet = Fleet::new(self.nodes, self.rate, self.burst);
         fleet.seed = self.seed;
@@ -226,7 +232,8 @@
     }
 }
 
-/// An organisation whose requests an exact bucket would all admit is refused nothing, whatever the faults of the fleet.
+/// An organisation whose requests an exact bucket would all admit is refused nothing, whatever the
+/// faults of the fleet.
 #[test]
 fn a_drawn_fleet_refuses_nothing_below_the_limit() {
     let mut failures = Vec::new();
--- a/crates/steer/tests/quota/simulation.rs
+++ b/crates/steer/tests/quota/simulation.rs
@@ -99,7 +99,8 @@
     Lossy,
     /// Callers stop using the nodes, which keep running.
     CallersLeft,
-    /// Nodes pause for one second out of three and process the requests and reports of that time when they resume.
+    /// Nodes pause for one second out of three and process the requests and reports of that time
+    /// when they resume.
     Paused,
     /// Reports are delayed by up to a second, and so arrive out of order.
     Delayed,
@@ -348,7 +349,8 @@
         let mut random = rngs::StdRng::seed_from_u64(self.seed);
         let mut requests: Vec<(Duration, bool)> =
             load.times(&mut random).into_iter().map(|time| (time, true)).collect();
-        // The organisation without a limit has a steady load, as a few large organisations together have.
+        // The organisation without a limit has a steady load, as a few large organisations together
+        // have.
         #[expect(clippy::cast_precision_loss, reason = "a few hundred nodes")]
         let unlimited = Load::steady(20.0 * self.nodes as f64).times(&mut random);
         requests.extend(unlimited.into_iter().map(|time| (time, false)));
@@ -428,7 +430,8 @@
         }
     }
 
-    /// Processes the requests that arrived at nodes while they were paused, before they read any report.
+    /// Processes the requests that arrived at nodes while they were paused, before they read any
+    /// report.
     fn process_held(&mut self, time: Duration) {
         let (ready, held) = self.held.drain(..).partition(|request| request.at <= time);
         self.held = held;
@@ -539,7 +542,7 @@
     }
 }
 
-/// Returns a configuration with the organisation that has a limit and the one that has none.
+/// Returns a configuration with two organisations, one with a limit and one without.
 fn configuration(rate: f64, burst: f64) -> routing::Routing {
     let organisation = |name: &str, quota| organisation::Organisation {
         name: id::Organisation::new(name),
--- a/crates/steer/tests/quota/strategies.rs
+++ b/crates/steer/tests/quota/strategies.rs
@@ -17,7 +17,7 @@
     Reported,
     /// Each node has an equal share.
     EqualShares,
-    /// Each node stops once the requests admitted by all nodes, as far as it knows of them, reach the limit.
+    /// Each node stops once the sum of the admitted requests that it knows of reaches the limit.
     Sums,
 }
 
@@ -67,7 +67,8 @@
     outcome
 }
 
-/// Each node keeps a bucket from which it takes its own admitted requests at once and those of others after a delay.
+/// Each node keeps a bucket; it deducts its own admitted requests at once and those of other nodes
+/// after a delay.
 fn sums(nodes: usize, load: &Load, fault: &Fault) -> Outcome {
     let mut random = rngs::StdRng::seed_from_u64(7);
     let mut admitted: Vec<(Duration, usize)> = Vec::new();
--- a/crates/steer/tests/upstream_limit/main.rs
+++ b/crates/steer/tests/upstream_limit/main.rs
@@ -1,4 +1,5 @@
-//! Limits that upstreams announce: checks the requests of all nodes together against the required bound and the allowed rate.
+//! Limits that upstreams announce: checks the requests of all nodes together against the required
+//! bound and the allowed rate.
 
 mod random_fleets;
 mod simulation;
@@ -55,7 +56,8 @@
     }
 }
 
-/// Simulates fleets whose regions report sums to each other; returns the description, the limit and the outcome of each.
+/// Simulates fleets whose regions report sums to each other; returns the description, the limit and
+/// the outcome of each.
 fn regional_fleets() -> impl Iterator<Item = (String, f64, Outcome)> {
     let sizes = [(12, 3), (24, 3), (75, 3), (80, 8)];
     let loads = [(3.0, 14.0), (9.0, 30.0), (9.0, 120.0), (40.0, 200.0)];
@@ -75,7 +77,8 @@
     }
 }
 
-/// Representatives spread forwarded requests over time a second time, so that they count for a tenth more each time.
+/// Representatives spread forwarded requests over time once more, so that the requests count for a
+/// tenth more each time.
 #[test]
 fn a_limit_is_used_by_regions_that_report_sums() {
     let from = seconds(5) + CONTACT;
@@ -122,7 +125,8 @@
     assert!(unlimited >= 3.0 * 100.0 * MIN_UTILISATION, "removed: {unlimited}");
 }
 
-/// An upstream with a limit of zero is tried now and then, since only a response shows that the limit has ended.
+/// An upstream with a limit of zero is tried now and then, since only a response shows that the
+/// limit has ended.
 #[test]
 fn upstream_with_zero_limit_is_tried_occasionally() {
     let limits = [(5, Some(0.0)), (20, None)];
@@ -134,7 +138,8 @@
     assert!(unlimited >= 4.0 * 60.0 * MIN_UTILISATION, "{unlimited}");
 }
 
-/// Prints the traffic of a node's reports about one upstream with a limit if every node reports to every other.
+/// Prints the traffic of a node's reports about one upstream with a limit if every node reports to
+/// every other.
 #[test]
 #[ignore = "prints figures; run by hand"]
 fn traffic_of_reports() {
--- a/crates/steer/tests/upstream_limit/random_fleets.rs
+++ b/crates/steer/tests/upstream_limit/random_fleets.rs
@@ -1,6 +1,8 @@
-//! Randomly generated fleets of any size, limit and load, with isolated, killed and paused nodes and lost reports.
+//! Randomly generated fleets of any size, limit and load, with isolated, killed and paused nodes
+//! and lost reports.
 //!
-//! `YOKESPOKE_CASES` and `YOKESPOKE_SEED` set the number of cases and the first seed of the long test.
+//! `YOKESPOKE_CASES` and `YOKESPOKE_SEED` set the number of cases and the first seed of the long
+//! test.
 
 use std::env;
 use std::time::Duration;
@@ -51,7 +53,8 @@
     Fleet { nodes, regions: 1, demand, skew, limit_changes, loss, faults, seed }
 }
 
-/// Returns the largest number of requests that count in a window, relative to what the required bound grants.
+/// Returns the largest number of requests that count in a window, relative to what the required
+/// bound grants.
 ///
 /// Each limit is checked from when it has taken effect until it changes.
 fn max_ratio(fleet: &Fleet) -> f64 {
--- a/crates/steer/tests/upstream_limit/simulation.rs
+++ b/crates/steer/tests/upstream_limit/simulation.rs
@@ -1,4 +1,5 @@
-//! Simulation of a fleet of nodes that send requests to one upstream with a limit and exchange reports with a delay.
+//! Simulation of a fleet of nodes that send requests to one upstream with a limit and exchange
+//! reports with a delay.
 
 use std::collections;
 use std::ops;
@@ -54,8 +55,9 @@
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub nodes: usize,
-    /// Number of regions, to which the nodes are assigned in turn. The first node of each region represents it: it forwards the
-    /// sum of its region to the other representatives, and theirs to its region.
+    /// Number of regions, to which the nodes are assigned in turn. The first node of each region is
+    /// its representative: it forwards the sum of its region to the other representatives, and
+    /// their sums to its region.
     pub regions: usize,
     /// Demand for the upstream over the whole fleet, in requests per second.
     pub demand: f64,
@@ -207,7 +209,8 @@
         }
     }
 
-    /// Forwards the sum of a representative's region to the other representatives, and the sum of those to its region.
+    /// Forwards the sum of a representative's region to the other representatives, and the sum of
+    /// the other regions to its region.
     fn forward(&mut self, node: usize, time: Duration) {
         let (regions, now) = (self.fleet.regions, self.start + time);
         let number = |name: &id::Node| name.as_str().strip_prefix("n-")?.parse::<usize>().ok();
@@ -300,7 +303,8 @@
 const KEY: peer_load::Key = peer_load::Key(77);
 
 impl Outcome {
-    /// Returns the largest number of requests that satisfy `counts` in any window that begins in `times`.
+    /// Returns the largest number of requests that satisfy `counts` in any window that begins in
+    /// `times`.
     pub fn max_in_window(
         &self,
         window: Duration,
@@ -322,8 +326,9 @@
         self.sent.iter().filter(|sent| times.contains(&sent.at)).count() as f64
     }
 
-    /// Returns whether a request counts for the required bound: its node forwarded a response with a limit at least
-    /// [`PROPAGATION_TIME`] before, and no fault affected the node within `contact`.
+    /// Returns whether a request counts for the required bound: its node forwarded a response with
+    /// a limit at least [`PROPAGATION_TIME`] before, and no fault affected the node within
+    /// `contact`.
     pub fn is_counted(&self, fleet: &Fleet, sent: &Sent, contact: Duration) -> bool {
         let limited_since =
             self.limited_since.get(&sent.node).is_some_and(|at| *at + PROPAGATION_TIME <= sent.at);
