--- a/crates/steer/tests/dispatch/health.rs
+++ b/crates/steer/tests/dispatch/health.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_upstream_whose_only_attempt_broke_is_not_considered_silent() {
+fn upstream_with_one_broken_attempt_is_not_silent() {
     let now = Instant::now();
     for outcome in [outcome::Outcome::Broken, outcome::Outcome::Abandoned] {
         let mut dispatcher = setup::dispatcher("n");
@@ -36,7 +36,8 @@
         let later = now + Duration::from_secs(60);
         let again =
             setup::choose(&mut dispatcher, &setup::route(&[]), 1, later).expect("both are healthy");
-        // A broken attempt raises its cost temporarily, but by less than a second upstream's factor.
+        // A broken attempt raises its cost temporarily, but by less than a second upstream's
+        // factor.
         assert_eq!(first.id, again.id, "{outcome:?}");
     }
 }
--- a/crates/steer/tests/quota/main.rs
+++ b/crates/steer/tests/quota/main.rs
@@ -1,7 +1,8 @@
-//! Quotas of a fleet: the requests of an organisation that all nodes together admit, compared with an exact token bucket.
+//! Quotas of a fleet: the requests of an organisation that all nodes together admit, compared with
+//! an exact token bucket.
 //!
-//! The nodes run the real code, while their reports arrive late and some are lost. [`strategies`] holds rejected strategies,
-//! which are compared on the same requests.
+//! The nodes run the real code, while their reports arrive late and some are lost. [`strategies`]
+//! holds rejected strategies, which are compared on the same requests.
 
 mod random_fleets;
 mod simulation;
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn an_organisation_above_its_limit_stays_within_it_and_gets_most_of_it() {
+fn admitted_requests_use_most_but_never_exceed_limit() {
     for nodes in [3, 12, 40] {
         for rate in [5.0, RATE, 400.0] {
             let load = Load::surge(rate / 1.6, 7.5);
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn an_organisation_above_its_limit_stays_within_it_while_nodes_are_isolated_killed_or_restarted() {
+fn admitted_requests_stay_within_the_limit_despite_faults() {
     let faults = [
         ("isolated", Fault::isolated(0.35)),
         ("killed", Fault::killed(0.55)),
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn an_organisation_below_its_limit_is_hardly_refused_while_nodes_are_down() {
+fn hardly_any_refusals_below_limit_while_nodes_are_down() {
     for (name, fault) in [("killed", Fault::killed(0.5)), ("isolated", Fault::isolated(0.35))] {
         let outcome = Fleet::new(27, RATE, RATE).simulate(&Load::steady(RATE / 1.6), &fault);
         let share = outcome.refused_share();
@@ -79,16 +80,18 @@
     }
 }
 
-/// Guards against a late report of a falling rate being mistaken for a restart of its node, so that its whole rate was deducted
-/// again. A deployment of 75 nodes refused a third of its requests although they were below the limits (`reason=over-quota`,
-/// 56,083 of 78,193 log lines), and no test of the limits detected it.
+/// Guards against a late report of a falling rate being mistaken for a restart of its node, so that
+/// the node's whole rate was deducted again. A deployment of 75 nodes refused a third of its
+/// requests although the requests were below the limits (`reason=over-quota`, 56,083 of 78,193 log
+/// lines), and no test of the limits detected it.
 #[test]
-fn an_organisation_below_its_limit_is_hardly_refused_when_reports_jitter() {
+fn hardly_any_refusals_below_limit_when_reports_jitter() {
     for nodes in [3, 12, 40] {
         for burst in [0.0, RATE] {
             let mut fleet = Fleet::new(nodes, RATE, burst);
             fleet.jitter = Some(Duration::from_millis(400));
-            // The surge reaches 0.8 of the limit. At 0.9, even an exact bucket without a burst refuses some requests.
+            // The surge reaches 0.8 of the limit. At 0.9, even an exact bucket without a burst
+            // refuses some requests.
             let outcome = fleet.simulate(&Load::surge(RATE / 2.0, 1.6), &Fault::none());
             let share = outcome.refused_share();
             assert!(share < 0.02, "{nodes} nodes, burst {burst}: {share}");
@@ -131,14 +134,14 @@
 }
 
 #[test]
-fn the_implemented_strategy_keeps_the_limit_where_others_exceed_it_or_refuse_more() {
+fn implemented_strategy_keeps_limit_without_refusals_below_it() {
     compare_strategies(12);
     compare_strategies(40);
 }
 
 #[test]
 #[ignore = "takes minutes without optimisation"]
-fn the_implemented_strategy_keeps_the_limit_in_a_large_fleet() {
+fn implemented_strategy_keeps_limit_in_a_large_fleet() {
     compare_strategies(75);
     compare_strategies(300);
 }
