--- a/crates/steer/src/ownership/core/adoption.rs
+++ b/crates/steer/src/ownership/core/adoption.rs
@@ -63,7 +63,7 @@
             let is_alive = |key: &member::Key| {
                 key == me || members.incarnation(key).is_some_and(|k| k.is_alive(now))
             };
-            self.router.find_owners(&self.snapshot, &self.tables, &is_alive);
+            self.router.update_owners(&self.snapshot, &self.tables, &is_alive);
         }
         self.update_allotments();
     }
--- a/crates/steer/src/ownership/core/mod.rs
+++ b/crates/steer/src/ownership/core/mod.rs
@@ -112,11 +112,11 @@
             event::Event::Used { owner, service, usage } => {
                 self.router.record_usage(&owner, &service, usage, now);
             }
-            event::Event::Returned { request } => self.router.returned(request),
+            event::Event::Returned { request } => self.router.finish(request),
             event::Event::Failed { request, failure, repetition } => {
                 self.suspect_unready(request, failure, now);
                 self.with_router(now, |router, view| {
-                    router.failed(request, failure, repetition, view, out);
+                    router.retry_or_refuse(request, failure, repetition, view, out);
                 });
             }
             event::Event::Offer { offer } => self.owner.offer(offer, now, out),
--- a/crates/steer/src/ownership/maintenance.rs
+++ b/crates/steer/src/ownership/maintenance.rs
@@ -1,8 +1,8 @@
-//! Table maintenance: when a region's table in the store is rewritten, and how.
+//! Table maintenance: updates a region's membership table in the store.
 //!
-//! Every node of the region runs it; the first by name acts at once and each after it a little
-//! later, so that one is enough. Two that act at once race by compare-and-swap and one wins. Owns the
-//! turn and the proofs that departed nodes have ended. Relies on [`members`] and on the VM list.
+//! Every node of the region runs it. The first by name proposes a new table at once, and each further node
+//! a little later, so that usually one proposal is made. Concurrent proposals are resolved by
+//! compare-and-swap.
 
 use std::collections;
 use std::time::{Duration, Instant};
@@ -14,13 +14,13 @@
 use crate::ownership::members;
 use crate::ownership::vms;
 
-/// Time that each node waits longer than the one before it by name. Not measured.
+/// Additional delay of each node over the previous one by name.
 const TURN: Duration = Duration::from_millis(1_000);
 
-/// Least time between two proposals of one node. Not measured.
+/// Minimum time between two proposals of one node.
 const PAUSE: Duration = Duration::from_millis(1_000);
 
-/// Earlier epochs in a table from which one is rewritten just to be shorter. Not measured.
+/// Number of past epochs in a table from which it is rewritten only to remove epochs.
 const LONG_PAST: usize = 4;
 
 /// Maintains the table of this node's region.
@@ -31,27 +31,28 @@
     ends: collections::BTreeMap<member::Key, Instant>,
 }
 
-/// What a decision on the table reads.
+/// The state that decisions on the table read.
 #[derive(Debug)]
 pub struct View<'a> {
-    /// The region's newest known table.
+    /// The newest known table of the region.
     pub table: &'a table::Table,
     /// This node.
     pub me: &'a heartbeat::Member,
-    /// The nodes that are known.
+    /// The known nodes.
     pub members: &'a members::Members,
     /// The VM list.
     pub vms: &'a vms::List,
-    /// When this node started; a listed node that it does not know is not taken off soon after.
+    /// When this node started. Listed nodes that it does not know are not removed until
+    /// [`members::DEAD_AFTER`] later.
     pub started: Instant,
-    /// Time after which nothing a stopped node sent can still run.
+    /// Time after which no request that a stopped node sent can still be running.
     pub tail: Duration,
-    /// The time.
+    /// The current time.
     pub now: Instant,
 }
 
 impl Maintainer {
-    /// Returns the table to propose, when it is this node's turn.
+    /// Returns a new table to propose, if one is needed and it is this node's turn.
     pub fn decide(&mut self, view: &View<'_>) -> Option<table::Table> {
         let joins = joins(view);
         let leaves = leaves(view);
@@ -76,7 +77,8 @@
         Some(known.next(&joins, &leaves, &ended))
     }
 
-    /// Returns departed nodes that have settled, or whose end is proved for as long as the tail.
+    /// Returns the departed nodes that have settled on a later epoch, or that have been known to be stopped
+    /// for `tail`.
     fn ended(&mut self, view: &View<'_>) -> Vec<member::Key> {
         let mut ended = Vec::new();
         for departed in &view.table.departed {
@@ -107,7 +109,7 @@
     }
 }
 
-/// Returns the live nodes of the region that the table does not list.
+/// Returns the live nodes of the region that are not in the table.
 fn joins(view: &View<'_>) -> Vec<member::Listed> {
     let in_region = view.members.alive(view.now).map(|k| &k.member);
     in_region
@@ -123,7 +125,7 @@
         .collect()
 }
 
-/// Returns the listed nodes that are leaving, replaced, gone or long silent.
+/// Returns the listed nodes that are leaving, replaced, unknown or dead.
 fn leaves(view: &View<'_>) -> Vec<member::Key> {
     let running_for = view.now.saturating_duration_since(view.started);
     let leaves = |listed: &&member::Listed| match view.members.get(&listed.key.node) {
@@ -135,7 +137,7 @@
     view.table.listed.iter().filter(leaves).map(|s| s.key.clone()).collect()
 }
 
-/// Returns the table with the epochs that its nodes have settled on since it was written.
+/// Returns the table with the latest epochs that its nodes have settled on.
 fn with_settled(view: &View<'_>) -> table::Table {
     let mut table = view.table.clone();
     let known = |key: &member::Key| view.members.incarnation(key).map(|k| k.member.settled);
@@ -153,7 +155,7 @@
     with_settled(view).lowest_epoch_in_use() > view.table.lowest_epoch_in_use()
 }
 
-/// Returns how many live nodes of the region stand before this one by name.
+/// Returns the number of live nodes of the region that precede this one by name.
 fn position(view: &View<'_>) -> u32 {
     let alive = view.members.alive(view.now).map(|k| &k.member);
     let before = alive.filter(|m| m.region == view.me.region && m.key < view.me.key);
--- a/crates/steer/src/ownership/peering.rs
+++ b/crates/steer/src/ownership/peering.rs
@@ -1,7 +1,4 @@
-//! Peering: which nodes get a heartbeat, and when, so that traffic does not grow with the fleet.
-//!
-//! Owns when each peer was sent to and updated last. Relies on [`members`] for who is there and on the
-//! owner for its grantors.
+//! Peering: selects the nodes that get a heartbeat, so that a node's traffic does not grow with the fleet.
 
 use std::collections;
 use std::net;
@@ -13,26 +10,26 @@
 use crate::ownership::heartbeat;
 use crate::ownership::members;
 
-/// Nodes of the own region that get a heartbeat each time, beside grantors. Not measured apart.
+/// Number of nodes of this region that get a heartbeat each period, not counting grantors.
 const LOCAL: usize = 2;
 
-/// Nodes of other regions that get a heartbeat each time. Not measured apart.
+/// Number of nodes of other regions that get a heartbeat each period.
 const REMOTE: usize = 1;
 
-/// Time between two heartbeats to a grantor. Not measured; three fit into a lease's term.
+/// Minimum time between two heartbeats to a grantor: three fit into a lease's term.
 const GRANTOR_PERIOD: Duration = Duration::from_millis(900);
 
-/// Time between two heartbeats to seeds at which no known node stands. Not measured.
+/// Minimum time between two heartbeats to a seed address that belongs to no known node.
 const SEED_PERIOD: Duration = Duration::from_secs(1);
 
-/// Least time between two fetches of a configuration. Not measured.
+/// Minimum time between two fetches of a configuration.
 const FETCH_PERIOD: Duration = Duration::from_millis(200);
 
-/// Epoch changes remembered, to know under which epoch a heartbeat was sent. Not measured; a heartbeat is
+/// Number of epoch changes that are kept to look up the epoch at which a heartbeat was sent. A heartbeat is
 /// answered within a second or counts as lost.
 const REMEMBERED: usize = 8;
 
-/// When each peer was sent a heartbeat and updated.
+/// When each peer was last sent a heartbeat and last updated.
 #[derive(Debug)]
 pub struct Peering {
     seeds: Vec<net::SocketAddr>,
@@ -43,17 +40,17 @@
     epochs: collections::VecDeque<(Instant, epoch::Epoch)>,
 }
 
-/// Where a heartbeat goes.
+/// The destination of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Where it listens for peers.
+    /// The address it listens on for peers.
     pub address: net::SocketAddr,
-    /// The node expected there; none for a seed.
+    /// The node expected there; `None` for a seed.
     pub node: Option<id::Node>,
 }
 
 impl Peering {
-    /// Makes the peering of a node that knows only seeds, of which it may be one.
+    /// Creates the state of a node that knows only the seeds; its own address is not used as a seed.
     #[must_use]
     pub fn new(mut seeds: Vec<net::SocketAddr>, own: net::SocketAddr) -> Self {
         seeds.retain(|seed| *seed != own);
@@ -67,7 +64,7 @@
         }
     }
 
-    /// Returns the nodes that get a heartbeat now, and records it.
+    /// Returns the nodes that get a heartbeat at `now`, and records that it is sent.
     pub fn targets(
         &mut self,
         me: &heartbeat::Member,
@@ -75,7 +72,7 @@
         grantors: &[id::Node],
         now: Instant,
     ) -> Vec<Target> {
-        self.note_epoch(me.epoch, now);
+        self.record_epoch(me.epoch, now);
         let others = members.iter().filter(|k| k.member.key.node != me.key.node);
         let mut others: Vec<&heartbeat::Member> =
             others.filter(|k| !k.is_dead(now)).map(|k| &k.member).collect();
@@ -96,12 +93,12 @@
         nodes.chain(seeds.into_iter().map(|address| Target { address, node: None })).collect()
     }
 
-    /// Returns when the node was last updated, and records that it is updated now.
+    /// Records that the node is updated at `now`; returns when it was last updated before.
     pub fn mark_updated(&mut self, node: &id::Node, now: Instant) -> Option<Instant> {
         self.updated.insert(node.clone(), now)
     }
 
-    /// Returns whether a configuration may be fetched now, and records that it is.
+    /// Returns whether a configuration may be fetched at `now`, and if so records the fetch.
     pub fn may_fetch(&mut self, now: Instant) -> bool {
         let recent = |at: Instant| now.saturating_duration_since(at) < FETCH_PERIOD;
         match self.fetched.is_some_and(recent) {
@@ -113,14 +110,14 @@
         }
     }
 
-    /// Returns the epoch under which a heartbeat was sent.
+    /// Returns this node's epoch when a heartbeat was sent.
     #[must_use]
     pub fn epoch_at(&self, sent: Instant) -> epoch::Epoch {
         let before = self.epochs.iter().rev().find(|(at, _)| *at <= sent);
         before.map_or(epoch::Epoch(0), |(_, epoch)| *epoch)
     }
 
-    fn note_epoch(&mut self, epoch: epoch::Epoch, now: Instant) {
+    fn record_epoch(&mut self, epoch: epoch::Epoch, now: Instant) {
         if self.epochs.back().map(|(_, e)| *e) == Some(epoch) {
             return;
         }
@@ -135,7 +132,7 @@
         sent.is_none_or(|at| now.saturating_duration_since(*at) >= GRANTOR_PERIOD)
     }
 
-    /// Returns the seeds at which no known node stands, when it is time to try them again.
+    /// Returns the seeds that are not addresses of known nodes, if it is time to try them again.
     fn due_seeds(&mut self, known: &[net::SocketAddr], now: Instant) -> Vec<net::SocketAddr> {
         let recent = |at: Instant| now.saturating_duration_since(at) < SEED_PERIOD;
         if self.seeded.is_some_and(recent) {
--- a/crates/steer/src/ownership/planner.rs
+++ b/crates/steer/src/ownership/planner.rs
@@ -1,9 +1,9 @@
-//! The planner: where each place's requests for one service should go.
+//! The planner: computes the target split of each place's requests for one service.
 //!
-//! A pure function of configuration and measurements, so that nodes which know the same plan the
-//! same. Regions are filled nearest first up to a margin of their usable slots; what does not fit
-//! goes on to the next nearest. When nothing has room the rest follows the capacities, and the
-//! owners refuse what they cannot hold. Owns the margin. Relies on [`split`] for the result.
+//! A pure function of configuration and measurements, so that nodes with the same inputs compute the same
+//! targets. Each place's demand fills its nearest region up to [`MARGIN`] of the usable slots, then the
+//! next nearest, and so on. Demand that fits nowhere is distributed in proportion to the capacities, and
+//! the owners refuse what exceeds their slots.
 
 use std::collections;
 
@@ -11,21 +11,21 @@
 
 use crate::common::split;
 
-/// Part of a region's usable slots that the planner fills, so that a surge finds headroom. Not
-/// measured.
+/// Fraction of a region's usable slots that the planner fills; the rest is headroom for surges.
 pub const MARGIN: f64 = 0.85;
 
-/// Demand of a place that sent nothing lately, in slots: too little to move the split of another.
+/// Minimum demand of a place, in slots, so that an idle place has a split too. Too small to affect the
+/// splits of other places.
 const LEAST_DEMAND: f64 = 1e-6;
 
-/// What one place asks of one service.
+/// The demand of one place for one service.
 #[derive(Clone, Debug)]
 pub struct Demand {
     /// The place.
     pub place: id::Place,
-    /// Slots its requests would hold.
+    /// Slots that its requests occupy on average.
     pub slots: f64,
-    /// The regions it reaches, nearest first, each with the slots its link carries.
+    /// The reachable regions, nearest first, each with the limit of its link in slots.
     pub links: Vec<(id::Region, f64)>,
 }
 
@@ -35,12 +35,12 @@
     capacities: &collections::BTreeMap<id::Region, f64>,
     demands: &[Demand],
 ) -> collections::BTreeMap<id::Place, split::Split> {
-    let mut room: collections::BTreeMap<&id::Region, f64> =
+    let mut free_slots: collections::BTreeMap<&id::Region, f64> =
         capacities.iter().map(|(region, slots)| (region, slots * MARGIN)).collect();
     let mut placements: Vec<Placement<'_>> = demands.iter().map(Placement::new).collect();
     let levels = demands.iter().map(|d| d.links.len()).max().unwrap_or(0);
     for level in 0..levels {
-        fill_level(level, &mut room, &mut placements);
+        fill_level(level, &mut free_slots, &mut placements);
     }
     placements
         .into_iter()
@@ -48,52 +48,52 @@
         .collect()
 }
 
-/// One place's demand while it is being placed.
+/// The assignment of one place's demand to regions.
 struct Placement<'a> {
     demand: &'a Demand,
-    left: f64,
+    remaining: f64,
     placed: Vec<(id::Region, f64)>,
 }
 
 impl<'a> Placement<'a> {
     fn new(demand: &'a Demand) -> Self {
-        Self { demand, left: demand.slots.max(LEAST_DEMAND), placed: Vec::new() }
+        Self { demand, remaining: demand.slots.max(LEAST_DEMAND), placed: Vec::new() }
     }
 
-    /// Returns the region at `level` and what this place would send there.
+    /// Returns the region at `level` of the links, and the slots requested there.
     fn request(&self, level: usize) -> Option<(&'a id::Region, f64)> {
         let (region, limit) = self.demand.links.get(level)?;
-        Some((region, self.left.min(*limit)))
+        Some((region, self.remaining.min(*limit)))
     }
 
     fn place(&mut self, region: &id::Region, slots: f64) {
         if slots > 0.0 {
-            self.left = (self.left - slots).max(0.0);
+            self.remaining = (self.remaining - slots).max(0.0);
             self.placed.push((region.clone(), slots));
         }
     }
 
-    /// Spreads what found no room by capacity, and returns the split.
+    /// Distributes the remaining demand in proportion to the capacities, and returns the split.
     fn finish(mut self, capacities: &collections::BTreeMap<id::Region, f64>) -> split::Split {
         let reached = self.demand.links.iter().map(|(region, _)| region);
         let reached: Vec<(&id::Region, f64)> = reached
             .filter_map(|region| capacities.get(region).map(|slots| (region, *slots)))
             .collect();
         let total: f64 = reached.iter().map(|(_, slots)| slots).sum();
-        if self.left > LEAST_DEMAND / 2.0 && total > 0.0 {
-            let left = self.left;
+        if self.remaining > LEAST_DEMAND / 2.0 && total > 0.0 {
+            let remaining = self.remaining;
             for (region, slots) in reached {
-                self.place(region, left * slots / total);
+                self.place(region, remaining * slots / total);
             }
         }
         split::Split::new(&self.placed)
     }
 }
 
-/// Gives each region at `level` what its places ask for, scaled down where it has too little room.
+/// Assigns the slots that places request at `level`, scaled down in regions with too few free slots.
 fn fill_level(
     level: usize,
-    room: &mut collections::BTreeMap<&id::Region, f64>,
+    free_slots: &mut collections::BTreeMap<&id::Region, f64>,
     placements: &mut [Placement<'_>],
 ) {
     let mut requested: collections::BTreeMap<&id::Region, f64> = collections::BTreeMap::new();
@@ -102,13 +102,13 @@
     }
     for placement in placements.iter_mut() {
         let Some((region, slots)) = placement.request(level) else { continue };
-        let free = room.get(region).copied().unwrap_or(0.0);
+        let free = free_slots.get(region).copied().unwrap_or(0.0);
         let total = requested.get(region).copied().unwrap_or(0.0);
         let part = if total > free { free / total } else { 1.0 };
         placement.place(region, slots * part);
     }
     for (region, slots) in requested {
-        if let Some(free) = room.get_mut(region) {
+        if let Some(free) = free_slots.get_mut(region) {
             *free = (*free - slots).max(0.0);
         }
     }
--- a/crates/steer/src/ownership/router/mod.rs
+++ b/crates/steer/src/ownership/router/mod.rs
@@ -1,10 +1,10 @@
-//! The router of an entry: which region by the split, and which owner there by its load.
+//! Routing of requests from callers: selects the region by the split, and an owner there by its load.
 //!
-//! Owns the rotation of each service and place, the requests that are out at owners, and what owners
-//! reported of their slots. Relies on [`owners`] for who owns what, on [`retry`] for second tries and
-//! on [`planner`](crate::ownership::planner) for the splits' targets.
+//! Keeps the rotation of each service and place, the outstanding requests, and the usage that owners
+//! reported. [`owners`] finds the owners, [`retry`] decides on retries, and
+//! [`planner`](crate::ownership::planner) computes the targets of the splits.
 //!
-//! `selection` chooses the owner of one request, `planning` moves the splits.
+//! `selection` selects the owner of a request, and `planning` moves the splits.
 
 mod planning;
 mod selection;
@@ -31,17 +31,16 @@
 
 pub use planning::Measured;
 
-/// `Retry-After` when no owner could be reached.
-///
-/// Not measured; nodes are suspected, and regional tables rewritten, within about this time.
+/// `Retry-After` if no owner could be reached. Silent nodes are suspected and regional tables rewritten
+/// within about this time.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Routes the requests that enter at this node.
+/// Routes the requests that this node receives from callers.
 #[derive(Debug, Default)]
 pub struct Router {
     rotations: collections::BTreeMap<(id::Service, id::Place), rotation::Rotation>,
     owners: collections::BTreeMap<(id::Service, id::Region), Vec<owners::Owner>>,
-    /// What owners and regions reported of themselves.
+    /// The summaries of owners and regions.
     pub summaries: summaries::Summaries,
     routed: collections::HashMap<request::Id, Routed>,
     budgets: collections::BTreeMap<id::Service, budget::Budget>,
@@ -49,7 +48,7 @@
     reported: collections::BTreeMap<(id::Service, id::Node), Reported>,
 }
 
-/// An owner's last report of its use, less what this entry had out there.
+/// An owner's last reported usage, less this node's outstanding requests there.
 #[derive(Clone, Copy, Debug)]
 struct Reported {
     others: u32,
@@ -57,20 +56,20 @@
     at: Instant,
 }
 
-/// A request that is out at an owner.
+/// A request that was routed to an owner.
 #[derive(Debug)]
 struct Routed {
     service: id::Service,
     region: Option<id::Region>,
     owner: Option<id::Node>,
     tried: Vec<id::Node>,
-    /// Owners that had no slot free at once.
-    busy: usize,
-    /// Whether any try so far may have run.
-    so_far: verdict::Verdict,
+    /// Number of tries that failed because the owner had no free slot.
+    busy_tries: usize,
+    /// Whether any earlier try may have run the request.
+    earlier_verdict: verdict::Verdict,
 }
 
-/// A request that wants a region and an owner.
+/// A request to be routed to a region and an owner.
 #[derive(Clone, Debug)]
 pub struct Ask {
     /// The request.
@@ -79,21 +78,21 @@
     pub service: id::Service,
     /// The caller's place.
     pub place: id::Place,
-    /// The region, when another entry has chosen it.
+    /// The region, if the node that received the request from the caller has selected it already.
     pub region: Option<id::Region>,
 }
 
-/// What routing and planning read beside the router's own state.
+/// State outside the router that routing and planning read.
 pub struct View<'a> {
     /// The configuration.
     pub snapshot: &'a snapshot::Snapshot,
-    /// Whether all nodes of a region have been silent for so long that it counts as lost.
+    /// Returns whether a region counts as lost because all its nodes have been silent for too long.
     pub is_lost: &'a dyn Fn(&id::Region) -> bool,
     /// The region of this node.
     pub region: &'a id::Region,
-    /// The time.
+    /// The current time.
     pub now: Instant,
-    /// The time of day, for drains.
+    /// The wall-clock time, on which drains are scheduled.
     pub wall: SystemTime,
 }
 
@@ -104,7 +103,7 @@
 }
 
 impl Router {
-    /// Applies an owner's summary; one that is not newer than the last is dropped.
+    /// Applies an owner's summary if it is newer than the previous one.
     pub fn record_summary(&mut self, summary: &heartbeat::Summary, now: Instant) {
         if self.summaries.record(summary, now) {
             let busy = summary.in_flight + summary.queued;
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Records how much of its slots a service uses at an owner.
+    /// Records the usage of a service's slots at an owner.
     pub fn record_usage(
         &mut self,
         owner: &id::Node,
@@ -127,8 +126,8 @@
         self.reported.insert(key, Reported { others, usable: usage.usable, at: now });
     }
 
-    /// Finds the owners of every service anew.
-    pub fn find_owners(
+    /// Recomputes the owners of every service.
+    pub fn update_owners(
         &mut self,
         snapshot: &snapshot::Snapshot,
         tables: &collections::BTreeMap<id::Region, sync::Arc<table::Table>>,
@@ -145,7 +144,7 @@
         }
     }
 
-    /// Decides where a request goes.
+    /// Routes a request, or refuses it if no region can take it.
     pub fn route(&mut self, ask: Ask, view: &View<'_>, out: &mut Vec<action::Action>) {
         let region = match ask.region {
             Some(region) => Some(region),
@@ -159,25 +158,25 @@
             region,
             owner: None,
             tried: Vec::new(),
-            busy: 0,
-            so_far: verdict::Verdict::NotRun,
+            busy_tries: 0,
+            earlier_verdict: verdict::Verdict::NotRun,
         };
         self.send(ask.request, routed, view, out);
     }
 
-    /// Returns the owner that a request was sent to last.
+    /// Returns the owner that a request was last sent to.
     #[must_use]
     pub fn owner_of(&self, request: request::Id) -> Option<&id::Node> {
         self.routed.get(&request).and_then(|routed| routed.owner.as_ref())
     }
 
-    /// Forgets a routed request that is over.
-    pub fn returned(&mut self, request: request::Id) {
+    /// Removes a request that was answered or whose caller gave up.
+    pub fn finish(&mut self, request: request::Id) {
         self.take(request);
     }
 
-    /// Routes a request again that failed, in the region its split gave it, or refuses it.
-    pub fn failed(
+    /// Retries a failed request in the same region, or refuses it.
+    pub fn retry_or_refuse(
         &mut self,
         request: request::Id,
         failure: verdict::Failure,
@@ -187,10 +186,10 @@
     ) {
         let Some(mut routed) = self.take(request) else { return };
         let last = failure;
-        let failure = last.with_earlier_verdict(routed.so_far);
-        routed.so_far = failure.verdict;
-        routed.busy += usize::from(failure.reason == verdict::Reason::Busy);
-        let tries = u32::try_from(routed.tried.len() - routed.busy).unwrap_or(u32::MAX);
+        let failure = last.with_earlier_verdict(routed.earlier_verdict);
+        routed.earlier_verdict = failure.verdict;
+        routed.busy_tries += usize::from(failure.reason == verdict::Reason::Busy);
+        let tries = u32::try_from(routed.tried.len() - routed.busy_tries).unwrap_or(u32::MAX);
         let budget = self.budgets.entry(routed.service.clone()).or_default();
         match retry::may_retry(last, repetition, tries, budget) {
             true => self.send(request, routed, view, out),
@@ -198,7 +197,7 @@
         }
     }
 
-    /// Returns how many requests are out at owners.
+    /// Returns the number of outstanding requests.
     #[must_use]
     pub fn load(&self) -> usize {
         self.routed.len()
@@ -211,10 +210,10 @@
         view: &View<'_>,
         out: &mut Vec<action::Action>,
     ) {
-        let Some(choice) = self.choose(&routed, view) else {
+        let Some(choice) = self.select_owner(&routed, view) else {
             let failure =
                 verdict::Failure::not_run(verdict::Reason::NoRegion).with_retry_after(RETRY_AFTER);
-            let failure = failure.with_earlier_verdict(routed.so_far);
+            let failure = failure.with_earlier_verdict(routed.earlier_verdict);
             return out.push(action::Action::Refuse { request, failure });
         };
         let selection::Choice { region, owner, may_wait } = choice;
--- a/crates/steer/src/ownership/router/selection.rs
+++ b/crates/steer/src/ownership/router/selection.rs
@@ -1,7 +1,4 @@
-//! Selection: the owner that a request goes to, in the region that its split gave it.
-//!
-//! Owns the number of owners that are asked before a request waits, and the cost of an owner. Relies
-//! on the counts and reports that [`Router`] keeps.
+//! Selection: the owner that a request is sent to, in the region selected by its split.
 
 use std::time::Instant;
 
@@ -11,37 +8,37 @@
 use crate::ownership::owners;
 use crate::ownership::summaries;
 
-/// Owners of its own region that an entry asks for a slot that is free at once.
+/// Number of owners in this node's region that are tried for a free slot before a request may wait.
 ///
-/// Measured against one: docs/DECISIONS.md, "Several homes are asked before a request waits" (at 90 %
-/// load 6.4 % and 15.5 % refused became 0 % and 0 to 0.07 %). Other numbers were not measured.
+/// At 90 % load, three in place of one reduced the refused requests from 6.4 % and 15.5 % to 0 % and 0 to
+/// 0.07 % (docs/DECISIONS.md, "Several homes are asked before a request waits").
 const ASKED_BEFORE_WAITING: usize = 3;
 
-/// Least slots that an owner's load is divided by, so that one without slots sorts last.
+/// Minimum divisor in the cost of an owner, so that an owner without slots has a very high cost.
 const LEAST_SLOTS: f64 = 0.1;
 
-/// Where a request goes.
+/// The selected region and owner of a request.
 pub(super) struct Choice {
     pub(super) region: id::Region,
     pub(super) owner: owners::Owner,
-    /// Whether the request may wait there for a slot.
+    /// Whether the owner may queue the request for a slot.
     pub(super) may_wait: bool,
 }
 
 impl Router {
-    /// Returns the owner in the request's region that has the least work for its slots, and whether
-    /// the request may wait there.
+    /// Returns the owner of least cost in the request's region, and whether the request may wait there.
     ///
-    /// Owners that were not tried come first. In its own region an entry asks up to
-    /// [`ASKED_BEFORE_WAITING`] owners for a slot that is free at once before it lets the request wait
-    /// at the least loaded. Another region is too far for that; there the node it is sent to does so.
-    pub(super) fn choose(&self, routed: &Routed, view: &View<'_>) -> Option<Choice> {
+    /// Owners that were not tried yet are preferred. In this node's region, up to
+    /// [`ASKED_BEFORE_WAITING`] owners are tried for a free slot before the request may wait, at the owner
+    /// of least cost. Other regions are too far away for that, so the node that the request is sent to
+    /// tries the owners there.
+    pub(super) fn select_owner(&self, routed: &Routed, view: &View<'_>) -> Option<Choice> {
         let region = routed.region.clone()?;
         let owners = self.owners.get(&(routed.service.clone(), region.clone()))?;
         let asked = ASKED_BEFORE_WAITING.min(owners.len() - 1);
-        let may_wait = region != *view.region || routed.busy >= asked;
+        let may_wait = region != *view.region || routed.busy_tries >= asked;
         let was_tried = |owner: &owners::Owner| {
-            let is_waiting = may_wait && routed.busy > 0;
+            let is_waiting = may_wait && routed.busy_tries > 0;
             !is_waiting && routed.tried.contains(&owner.key.node)
         };
         let cost = |owner: &owners::Owner| self.cost(&routed.service, owner, view.now);
@@ -51,9 +48,10 @@
         Some(Choice { region, owner: best.clone(), may_wait })
     }
 
-    /// Returns the share of its slots that an owner would use with one more request.
+    /// Returns the utilization of an owner's slots with one more request.
     ///
-    /// What this entry sent is counted exactly; what others sent is known from the last report.
+    /// This node's outstanding requests are counted exactly; those of other nodes are taken from the
+    /// owner's last report.
     fn cost(&self, service: &id::Service, owner: &owners::Owner, now: Instant) -> f64 {
         let key = (service.clone(), owner.key.node.clone());
         let own = self.outstanding(service, &owner.key.node);
--- a/crates/steer/src/ownership/ticket.rs
+++ b/crates/steer/src/ownership/ticket.rs
@@ -1,9 +1,9 @@
-//! Tickets: what makes a request run at most once.
+//! Tickets: at-most-once execution of requests.
 //!
-//! A ticket names one incarnation of one node. Only that incarnation runs the request, once, and
-//! it remembers the outcome until the ticket ends by its own clock. Nobody else can run it, so no
-//! agreement and no write to the store is needed, and a partition cannot make it run twice. Owns the tickets in use. Relies on the incarnation being new with
-//! every start.
+//! A ticket names one incarnation of one node. Only that incarnation runs the request, at most once, and
+//! keeps the outcome until the ticket expires by its own clock. No other node can run the request, so
+//! neither consensus nor a write to the store is needed, and a partition cannot cause a second execution.
+//! This requires a new incarnation at every start of a node.
 
 use std::collections;
 use std::fmt;
@@ -13,10 +13,10 @@
 use model::id;
 use model::verdict;
 
-/// Time for which a ticket may be used, and its outcome asked for, from when it was issued. Not measured.
+/// Lifetime of a ticket and of its outcome, counted from when it was issued.
 pub const LIFE: Duration = Duration::from_secs(120);
 
-/// Most tickets in use that one node remembers. Not measured; it bounds memory.
+/// Maximum number of used tickets that a node keeps; bounds memory.
 pub const MOST: usize = 50_000;
 
 /// The right to run one request once.
@@ -24,11 +24,11 @@
 pub struct Ticket {
     /// The node that issued it.
     pub node: id::Node,
-    /// Its incarnation.
+    /// The incarnation of that node.
     pub incarnation: u64,
-    /// Milliseconds from the incarnation's start to the issue.
+    /// Time of issue, in milliseconds since the incarnation's start.
     pub issued_ms: u64,
-    /// A random number that makes it unique and hard to guess.
+    /// A random number that makes the ticket unique and hard to guess.
     pub nonce: u64,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Ticket {
-    /// Reads a ticket as a caller sends it.
+    /// Parses a ticket from its `Display` form, in which callers send it.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.splitn(4, '-');
@@ -51,14 +51,14 @@
     }
 }
 
-/// The remembered end of a request.
+/// The stored outcome of a request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Outcome<A> {
-    /// Its whole answer.
+    /// The whole answer.
     Answered(sync::Arc<A>),
-    /// An answer too large to be remembered; it ran.
+    /// The request ran, but its answer was too large to be kept.
     Unkept,
-    /// Its failure, which may have run.
+    /// The failure of a request that may have run.
     Failed(verdict::Failure),
 }
 
@@ -72,22 +72,22 @@
     }
 }
 
-/// What a node answers to a ticket.
+/// The result of claiming a ticket.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Claim<A> {
-    /// Run it: the ticket is now in use.
+    /// The caller of `claim` must run the request; the ticket is now used.
     Run,
-    /// It is running now.
+    /// The request is running.
     Running,
-    /// It has run.
+    /// The request has ended with this outcome.
     Done(Outcome<A>),
-    /// The ticket is of another incarnation, ended, or was never issued: it may have run.
+    /// The ticket is expired, of another incarnation, or was never issued: the request may have run.
     Unknown,
-    /// Too many tickets are in use; it did not run.
+    /// Too many tickets are kept; the request did not run.
     Full,
 }
 
-/// What issues the tickets of one incarnation.
+/// Issues the tickets of one incarnation.
 #[derive(Clone, Debug)]
 pub struct Issuer {
     node: id::Node,
@@ -96,13 +96,13 @@
 }
 
 impl Issuer {
-    /// Makes the issuer of an incarnation that starts at `origin`.
+    /// Creates the issuer of an incarnation that started at `origin`.
     #[must_use]
     pub fn new(node: id::Node, incarnation: u64, origin: Instant) -> Self {
         Self { node, incarnation, origin }
     }
 
-    /// Issues a ticket; nothing is remembered until it is used.
+    /// Issues a ticket. No state is kept until it is claimed.
     #[must_use]
     pub fn issue(&self, now: Instant, nonce: u64) -> Ticket {
         let issued = now.saturating_duration_since(self.origin);
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Returns when a ticket ends; none when this incarnation did not issue it.
-    fn end(&self, ticket: &Ticket, now: Instant) -> Option<Instant> {
+    /// Returns when a ticket expires, or `None` if this incarnation did not issue it.
+    fn expiry(&self, ticket: &Ticket, now: Instant) -> Option<Instant> {
         let is_own = ticket.node == self.node && ticket.incarnation == self.incarnation;
         let issued = self.origin.checked_add(Duration::from_millis(ticket.issued_ms))?;
         match is_own && issued <= now {
@@ -125,7 +125,7 @@
     }
 }
 
-/// The tickets of one incarnation.
+/// The used tickets of one incarnation and their outcomes.
 #[derive(Debug)]
 pub struct Table<A> {
     issuer: Issuer,
@@ -140,16 +140,16 @@
 }
 
 impl<A> Table<A> {
-    /// Makes an empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(issuer: Issuer) -> Self {
         Self { issuer, used: collections::HashMap::new(), ends: collections::VecDeque::new() }
     }
 
-    /// Claims a ticket for a request.
+    /// Claims a ticket, and marks it as used if the result is [`Claim::Run`].
     pub fn claim(&mut self, ticket: &Ticket, now: Instant) -> Claim<A> {
         self.expire(now);
-        let end = self.issuer.end(ticket, now).filter(|end| now < *end);
+        let end = self.issuer.expiry(ticket, now).filter(|end| now < *end);
         match (end, self.used.get(&ticket.nonce)) {
             (None, _) => Claim::Unknown,
             (_, Some(State::Running)) => Claim::Running,
@@ -157,13 +157,14 @@
             (_, None) if self.used.len() >= MOST => Claim::Full,
             (Some(end), None) => {
                 self.used.insert(ticket.nonce, State::Running);
-                self.remember(end, ticket.nonce);
+                self.schedule_expiry(end, ticket.nonce);
                 Claim::Run
             }
         }
     }
 
-    /// Records how the request of a ticket ended. One proved not to have run may be claimed again.
+    /// Records the outcome of a ticket's request. If the request did not run, the ticket can be claimed
+    /// again.
     pub fn finish(&mut self, ticket: &Ticket, outcome: Outcome<A>) {
         let not_run = matches!(
             &outcome,
@@ -174,25 +175,25 @@
                 self.used.remove(&ticket.nonce);
             }
             Some(state) => *state = State::Done(outcome),
-            // A ticket outlives its request unless the request took longer than the ticket's life; then
-            // it is unknown, and the answer "may have run" is right.
+            // The request took longer than the ticket's lifetime. Later claims return `Unknown`, which
+            // correctly means that the request may have run.
             None => {}
         }
     }
 
-    /// Returns how many tickets are remembered.
+    /// Returns the number of tickets that are kept.
     #[must_use]
     pub fn len(&self) -> usize {
         self.used.len()
     }
 
-    /// Returns whether no ticket is remembered.
+    /// Returns whether no ticket is kept.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.used.is_empty()
     }
 
-    fn remember(&mut self, end: Instant, nonce: u64) {
+    fn schedule_expiry(&mut self, end: Instant, nonce: u64) {
         let at = self.ends.partition_point(|(other, _)| *other <= end);
         self.ends.insert(at, (end, nonce));
     }
--- a/crates/steer/tests/caps.rs
+++ b/crates/steer/tests/caps.rs
@@ -1,4 +1,5 @@
-//! Splits and caps: shares add up, turns follow them, and no window holds more than the cap.
+//! Splits and caps: shares add up to one, the round robin follows them, and no split moves by more than
+//! its cap within a window.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -34,26 +35,26 @@
 }
 
 #[test]
-fn turns_follow_the_split_within_one_request() {
-    fn holds(weights: Vec<u8>, turns: u16) -> bool {
-        let turns = turns % 1_000;
+fn the_round_robin_follows_the_split_within_one_request() {
+    fn holds(weights: Vec<u8>, requests: u16) -> bool {
+        let requests = requests % 1_000;
         let split = split(&weights);
         let mut round_robin = RoundRobin::default();
         let mut counts: BTreeMap<id::Region, f64> = BTreeMap::new();
-        for _ in 0..turns {
+        for _ in 0..requests {
             if let Some(region) = round_robin.next(&split) {
                 *counts.entry(region).or_insert(0.0) += 1.0;
             }
         }
         split.parts().all(|(region, share)| {
-            let due = f64::from(turns) * f64::from(share) / f64::from(fraction::PARTS_PER_WHOLE);
+            let due = f64::from(requests) * f64::from(share) / f64::from(fraction::PARTS_PER_WHOLE);
             (counts.get(region).copied().unwrap_or(0.0) - due).abs() <= 1.0
         })
     }
     check(holds as fn(Vec<u8>, u16) -> bool);
 }
 
-/// Targets change at random times; every pair of positions within a window lies within the cap.
+/// Targets change at random times. Any two positions within one window must differ by at most the cap.
 #[test]
 fn no_window_moves_more_than_the_cap() {
     fn holds(steps: Vec<(u16, Vec<u8>)>, percent: u8, window: u8) -> bool {
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_target_is_reached_in_little_more_than_the_least_time() {
+fn a_target_is_reached_in_little_more_than_the_minimum_time() {
     let limit = ramp::Limit { share: Fraction::from_percent(20), window: Duration::from_secs(10) };
     let begin = Instant::now();
     let mut limiter = ramp::Limiter::new(split(&[1]));
@@ -92,13 +93,13 @@
         now += Duration::from_millis(500);
         limiter.advance(&target, Some(limit), now);
     }
-    // Five windows move everything at the cap's full pace; the ramp uses 95 % of it.
-    let least = limit.window * 5;
-    assert!(now - begin <= least.mul_f64(1.1), "{:?} against {least:?}", now - begin);
+    // At the full cap a complete move takes five windows; the ramp uses 95 % of the cap.
+    let minimum = limit.window * 5;
+    assert!(now - begin <= minimum.mul_f64(1.1), "{:?} against {minimum:?}", now - begin);
 }
 
 #[test]
-fn places_fill_their_nearest_region_and_pass_the_rest_on() {
+fn demand_fills_the_nearest_region_and_overflows_to_the_next() {
     let region = id::Region::new;
     let capacities = BTreeMap::from([(region("a"), 100.0), (region("b"), 100.0)]);
     let demand = |slots, limit| planner::Demand {
@@ -114,6 +115,6 @@
     assert!((share(50.0, f64::INFINITY) - 1.0).abs() < 1e-5);
     let full = 100.0 * planner::MARGIN;
     assert!((share(120.0, f64::INFINITY) - full / 120.0).abs() < 1e-5);
-    // A link that carries less than the region could take decides.
+    // The limit of the link applies if it is below the free slots of the region.
     assert!((share(80.0, 20.0) - 0.25).abs() < 1e-5);
 }
--- a/crates/steer/tests/fleet/coverage.rs
+++ b/crates/steer/tests/fleet/coverage.rs
@@ -1,16 +1,16 @@
-//! Which faults cases meet.
+//! Coverage: the situations that the generated cases reach.
 
 use std::collections;
 use std::fmt;
 
-/// What must be met by some case.
+/// The situations that at least one case must reach.
 const ALL: [&str; 15] = [
     "run",
     "run on a lease",
     "run while another node is paused",
     "run while links are cut",
     "run while the store is away",
-    "run in doubt, by a node that is not owner",
+    "run by a node that is not the owner",
     "queued",
     "refused",
     "paused with requests in flight",
@@ -22,26 +22,26 @@
     "node stopped as planned",
 ];
 
-/// What one case met.
+/// The situations that one case reached.
 #[derive(Clone, Debug, Default)]
 pub struct Met(collections::BTreeSet<&'static str>);
 
 impl Met {
-    /// Notes that something was met.
-    pub fn note(&mut self, what: &'static str) {
+    /// Records a situation.
+    pub fn record(&mut self, what: &'static str) {
         debug_assert!(ALL.contains(&what), "{what} is not in the table");
         self.0.insert(what);
     }
 
-    /// Notes that something was met, if it was.
-    pub fn note_if(&mut self, met: bool, what: &'static str) {
-        if met {
-            self.note(what);
+    /// Records a situation if `is_met`.
+    pub fn record_if(&mut self, is_met: bool, what: &'static str) {
+        if is_met {
+            self.record(what);
         }
     }
 }
 
-/// How many cases met what.
+/// The number of cases that reached each situation.
 #[derive(Debug, Default)]
 pub struct Table {
     cases: usize,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns what no case met.
+    /// Returns the situations that no case reached.
     pub fn unmet(&self) -> Vec<&'static str> {
         ALL.into_iter().filter(|what| !self.met.contains_key(what)).collect()
     }
--- a/crates/steer/tests/fleet/main.rs
+++ b/crates/steer/tests/fleet/main.rs
@@ -1,9 +1,9 @@
-//! Stateful fuzzing of a region's nodes against an oracle that counts what upstreams hold.
+//! Stateful fuzzing of the nodes of a region against an oracle that counts the requests at upstreams.
 //!
-//! A case is a list of steps. Nodes exchange messages through a list which the steps reorder and
-//! drop; nodes are paused, killed and started, links are cut, the store goes away and loses
-//! answers. After every step no upstream may hold more requests than it has slots, and once all is
-//! healed every owner must have all its slots again.
+//! A case is a list of steps. The steps reorder and drop messages between nodes, pause, kill and start
+//! nodes, cut links, and make the store unavailable or lose its answers. After every step no upstream may
+//! hold more requests than it has slots. After all faults are healed, every owner must have all slots of
+//! its upstreams again.
 
 mod coverage;
 mod oracle;
@@ -12,19 +12,19 @@
 
 use quickcheck::{Gen, QuickCheck, TestResult};
 
-/// Steps of one case at most.
+/// Maximum steps of a case.
 const SIZE: usize = 220;
 
-/// Cases of the run with a fixed seed.
+/// Number of cases of the run with a fixed seed.
 const CASES: u64 = 250;
 
-/// Seed of that run.
+/// Seed of the run with a fixed seed.
 const SEED: u64 = 0x59_6f_6b_65;
 
 fn holds(steps: Vec<step::Step>) -> TestResult {
     match world::run(&steps) {
         Ok(_) => TestResult::passed(),
-        Err(broken) => TestResult::error(broken),
+        Err(error) => TestResult::error(error),
     }
 }
 
@@ -53,7 +53,7 @@
     assert_eq!(table.unmet(), Vec::<&str>::new(), "faults that no case met");
 }
 
-/// Runs for long with a fresh seed: `cargo test --release -p yokespoke-steer --test fleet -- \
+/// Runs many cases with a random seed: `cargo test --release -p yokespoke-steer --test fleet -- \
 /// --ignored --nocapture`. `YOKESPOKE_CASES` and `YOKESPOKE_SEED` may be given.
 #[test]
 #[ignore = "runs for long"]
@@ -65,18 +65,19 @@
     check(seed, cases);
 }
 
-/// Offers every node more than it can hold.
+/// Offers every node more requests than it has slots.
 fn flood() -> Vec<step::Step> {
     (0..5).flat_map(|node| [step::Step::Offer(node, 11), step::Step::Offer(node, 10)]).collect()
 }
 
 fn must_hold(steps: &[step::Step]) {
-    if let Err(broken) = world::run(steps) {
-        panic!("{steps:?}: {broken}");
+    if let Err(error) = world::run(steps) {
+        panic!("{steps:?}: {error}");
     }
 }
 
-/// What a killed incarnation sent runs on while the next one starts within a second.
+/// Guards against oversubscription after a quick restart: the requests of a killed incarnation still run at
+/// the upstreams while the next incarnation starts.
 #[test]
 fn a_quick_restart_does_not_forget_what_still_runs() {
     for node in 0..5 {
@@ -92,9 +93,10 @@
     }
 }
 
-/// An owner that gives an upstream back to a node that returns starts nothing more on its leases.
+/// Guards against oversubscription after a handover: an owner that hands an upstream back to a restarted
+/// node must not start requests on the leases that it still holds.
 #[test]
-fn a_hand_over_ends_the_loans_of_the_old_home() {
+fn a_handover_ends_the_leases_of_the_previous_owner() {
     for node in 0..5 {
         for wait in (0..5_000).step_by(250) {
             let mut steps = vec![step::Step::Kill(node), step::Step::Gone(node)];
--- a/crates/steer/tests/fleet/oracle.rs
+++ b/crates/steer/tests/fleet/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle: what upstreams hold in truth, whatever any node believes.
+//! The oracle: the actual requests at each upstream, independent of the nodes' state.
 
 use std::collections;
 use std::time::Instant;
@@ -9,22 +9,22 @@
 /// A request that an upstream holds.
 #[derive(Clone, Debug)]
 pub struct Held {
-    /// The node that sent it, by number and start.
+    /// The node that sent it, by its number and its count of starts.
     pub node: (usize, u64),
-    /// The request, by that node's name for it.
+    /// The id of the request at that node.
     pub request: request::Id,
-    /// When the upstream lets it go at the latest.
+    /// When the upstream ends it at the latest.
     pub until: Instant,
 }
 
-/// What all upstreams hold.
+/// The requests at all upstreams.
 #[derive(Debug, Default)]
 pub struct Oracle {
     held: collections::BTreeMap<id::Upstream, Vec<Held>>,
 }
 
 impl Oracle {
-    /// Adds a request, and says so when the upstream then holds more than `slots`.
+    /// Adds a request; returns an error if the upstream then holds more than `slots`.
     pub fn begin(
         &mut self,
         upstream: &id::Upstream,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Removes what upstreams let go by `now`.
-    pub fn pass(&mut self, now: Instant) {
+    /// Removes the requests that upstreams have ended by `now`.
+    pub fn expire(&mut self, now: Instant) {
         for all in self.held.values_mut() {
             all.retain(|held| now < held.until);
         }
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Lets the upstream notice later that a request was given up.
-    pub fn give_up(&mut self, node: (usize, u64), request: request::Id, at_latest: Instant) {
+    /// Abandons a request, which its upstream notices by `at_latest`.
+    pub fn abandon(&mut self, node: (usize, u64), request: request::Id, at_latest: Instant) {
         for held in self.held.values_mut().flatten() {
             if held.node == node && held.request == request {
                 held.until = held.until.min(at_latest);
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Returns every request that is held.
+    /// Returns all requests.
     pub fn all(&self) -> Vec<Held> {
         self.held.values().flatten().cloned().collect()
     }
 
-    /// Returns whether a node holds requests.
+    /// Returns whether any upstream holds requests of a node.
     pub fn holds(&self, node: (usize, u64)) -> bool {
         self.held.values().flatten().any(|held| held.node == node)
     }
--- a/crates/steer/tests/fleet/step.rs
+++ b/crates/steer/tests/fleet/step.rs
@@ -1,13 +1,13 @@
-//! Steps of a case.
+//! Steps: the operations and faults of which a case consists.
 
 use quickcheck::{Arbitrary, Gen};
 
-/// Something that happens. Numbers choose among what there is, by their remainder.
+/// An operation or a fault. Numbers select a node, message or request, modulo how many there are.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// Time passes, in milliseconds; nothing is delivered.
+    /// Time passes, in milliseconds, without message delivery.
     Pass(u16),
-    /// Time passes while all messages are delivered at once.
+    /// Time passes, in milliseconds, and all messages are delivered at once.
     Quiet(u16),
     /// One message is delivered.
     Deliver(u16),
@@ -17,27 +17,27 @@
     Offer(u8, u8),
     /// A request ends at its upstream.
     Finish(u16),
-    /// A node gives a request up, which its upstream notices later.
+    /// A node abandons a request, which its upstream notices later.
     Abandon(u16),
-    /// A node stands still.
+    /// A node is paused.
     Pause(u8),
-    /// A node that stood still goes on.
+    /// A paused node continues.
     Resume(u8),
-    /// A node's process ends without a word.
+    /// A node's process is killed.
     Kill(u8),
     /// A node's process starts.
     Start(u8),
-    /// A node is told to stop.
+    /// A node is asked to stop.
     Stop(u8),
-    /// Two nodes lose each other.
+    /// The link between two nodes is cut.
     Cut(u8, u8),
-    /// All nodes find each other again.
+    /// All links are restored.
     Heal,
-    /// The store goes away, or comes back.
+    /// The store becomes available or unavailable.
     Store(bool),
-    /// The next write's answer is lost.
+    /// The answer of the next write to the store is lost.
     LoseAnswer,
-    /// The VM list drops the VM of a node that does not run.
+    /// The VM of a node that is not running is removed from the VM list.
     Gone(u8),
     /// A node reads the store.
     Read(u8),
--- a/crates/steer/tests/fleet/world.rs
+++ b/crates/steer/tests/fleet/world.rs
@@ -1,4 +1,4 @@
-//! A region of nodes, their messages, the store, and the passing of time.
+//! Simulation of a region: its nodes, their messages, the store and the clock.
 
 use std::collections;
 use std::net;
@@ -29,10 +29,10 @@
 use crate::oracle;
 use crate::step;
 
-/// Nodes of the region.
+/// Number of nodes.
 const NODES: usize = 5;
 
-/// Slots of the upstreams.
+/// Slots of each upstream.
 const SLOTS: [u32; 5] = [6, 3, 5, 1, 4];
 
 /// The service's deadline.
@@ -41,19 +41,20 @@
 /// Time between two ticks of a node.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Time in which a healed region must have all its slots again: the silence after which nodes are
-/// dead, a lease with its tail, the tail of departed nodes, and turns of the maintainer.
+/// Time in which a healed region must have all its slots again. Covers the silence after which nodes count
+/// as dead, a lease with its tail, the tail of departed nodes, and the delays of table maintenance.
 const RECOVERY: Duration = Duration::from_secs(40);
 
 const REGION: &str = "dakar";
 const SERVICE: &str = "catalogue";
 
+/// A simulated node.
 struct Sim {
     core: Option<core::Core>,
     start: u64,
     is_paused: bool,
     is_stopping: bool,
-    /// Requests that it knows to run, with their deadlines.
+    /// The requests that the node knows to be running, with their deadlines.
     running: collections::BTreeMap<request::Id, Instant>,
 }
 
@@ -86,10 +87,10 @@
     oracle: oracle::Oracle,
     deadlines: Vec<Instant>,
     met: coverage::Met,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
-/// Runs a case to its end and heals the region; returns what it met, or which promise broke.
+/// Runs a case and heals the region; returns the situations it reached, or the invariant that failed.
 pub fn run(steps: &[step::Step]) -> Result<coverage::Met, String> {
     let mut world = World::new();
     for number in 0..NODES {
@@ -98,8 +99,8 @@
     world.quiet(Duration::from_secs(12));
     for step in steps {
         world.take(*step);
-        if let Some(broken) = world.broken {
-            return Err(broken);
+        if let Some(violation) = world.violation {
+            return Err(violation);
         }
     }
     world.recover()?;
@@ -133,7 +134,7 @@
             oracle: oracle::Oracle::default(),
             deadlines: Vec::new(),
             met: coverage::Met::default(),
-            broken: None,
+            violation: None,
         }
     }
 
@@ -183,18 +184,18 @@
             let step = TICK.min(end - self.now);
             self.now += step;
             self.wall += step;
-            self.oracle.pass(self.now);
+            self.oracle.expire(self.now);
             for number in 0..NODES {
-                self.give_up_late(number);
+                self.abandon_late(number);
                 let wall = self.wall;
-                self.tell(number, event::Event::Tick { wall });
+                self.handle(number, event::Event::Tick { wall });
             }
         }
     }
 
     fn quiet(&mut self, time: Duration) {
         let end = self.now + time;
-        while self.now < end && self.broken.is_none() {
+        while self.now < end && self.violation.is_none() {
             self.pass(TICK.min(end - self.now));
             for _ in 0..3 {
                 for message in std::mem::take(&mut self.messages) {
@@ -204,8 +205,8 @@
         }
     }
 
-    /// Gives up what is past its deadline at a node, as its process does as soon as it runs.
-    fn give_up_late(&mut self, number: usize) {
+    /// Abandons the requests of a node that are past their deadline, as its process does unless paused.
+    fn abandon_late(&mut self, number: usize) {
         if self.nodes[number].is_paused {
             return;
         }
@@ -213,7 +214,7 @@
         let late = self.nodes[number].running.extract_if(.., |_, deadline| *deadline <= now);
         for (request, _) in late.collect::<Vec<_>>() {
             let outcome = request::Outcome::Abandoned;
-            self.tell(number, event::Event::Done { request, outcome });
+            self.handle(number, event::Event::Done { request, outcome });
         }
     }
 
@@ -239,7 +240,7 @@
         match message {
             Message::Heartbeat { from, to, heartbeat, made } => match self.nodes[to].core {
                 Some(_) => {
-                    let reply = self.tell(to, event::Event::Heartbeat { heartbeat });
+                    let reply = self.handle(to, event::Event::Heartbeat { heartbeat });
                     if let Some(reply) = reply {
                         self.messages.push(Message::Reply { from: to, to: from, reply, made });
                     }
@@ -247,12 +248,12 @@
                 None => self.unanswered(from, to),
             },
             Message::Reply { to, reply, made, .. } if self.nodes[to.0].start == to.1 => {
-                self.tell(to.0, event::Event::Replied { reply, sent: made });
+                self.handle(to.0, event::Event::Replied { reply, sent: made });
             }
             Message::Fetch { from, to } if self.nodes[from.0].start == from.1 => {
                 let snapshot = self.nodes[to].core.as_ref().map(|c| sync::Arc::clone(&c.snapshot));
                 if let Some(snapshot) = snapshot {
-                    self.tell(from.0, event::Event::Configure { snapshot });
+                    self.handle(from.0, event::Event::Configure { snapshot });
                 }
             }
             _ => {}
@@ -269,19 +270,19 @@
 
     fn unanswered(&mut self, by: (usize, u64), node: usize) {
         if self.nodes[by.0].start == by.1 {
-            self.tell(by.0, event::Event::Unanswered { node: name(node) });
+            self.handle(by.0, event::Event::Unanswered { node: name(node) });
         }
     }
 
-    /// Hands an event to a node that runs, and does what it asks; returns its reply to a heartbeat.
-    fn tell(&mut self, number: usize, event: event::Event) -> Option<Box<heartbeat::Reply>> {
+    /// Lets a running node handle an event and carries out its actions; returns its reply to a heartbeat.
+    fn handle(&mut self, number: usize, event: event::Event) -> Option<Box<heartbeat::Reply>> {
         let sim = &mut self.nodes[number];
         let core = sim.core.as_mut().filter(|_| !sim.is_paused)?;
         let before = core.me.epoch;
         let mut actions = Vec::new();
         core.handle(event, self.now, &mut actions);
         let changed = core.me.epoch != before && core.owner.load() > 0;
-        self.met.note_if(changed, "epoch changed with requests in flight");
+        self.met.record_if(changed, "epoch changed with requests in flight");
         let mut reply = None;
         for action in actions {
             match action {
@@ -304,7 +305,7 @@
             }
             action::Action::Propose { table } => self.propose(number, table),
             action::Action::Run { request, upstream, .. } => self.run(number, request, &upstream),
-            action::Action::Refuse { .. } => self.met.note("refused"),
+            action::Action::Refuse { .. } => self.met.record("refused"),
             action::Action::Forward { .. } | action::Action::Reply { .. } => {}
         }
     }
@@ -324,9 +325,9 @@
         };
         self.deadlines.push(deadline);
         let before = self.queued(number);
-        self.tell(number, event::Event::Offer { offer });
+        self.handle(number, event::Event::Offer { offer });
         let waits = self.queued(number) > before;
-        self.met.note_if(waits, "queued");
+        self.met.record_if(waits, "queued");
     }
 
     fn queued(&self, number: usize) -> usize {
@@ -335,7 +336,7 @@
     }
 
     fn run(&mut self, number: usize, request: request::Id, upstream: &id::Upstream) {
-        self.note_run(number, upstream);
+        self.record_run(number, upstream);
         let index: usize = upstream.as_str().parse().expect("upstreams are named by number");
         let asked = usize::try_from(request.0).expect("requests are few");
         let deadline = self.deadlines[asked];
@@ -343,57 +344,57 @@
         let until = deadline + owner::CANCEL_GRACE;
         let held = oracle::Held { node: (number, self.nodes[number].start), request, until };
         let slots = usize::try_from(SLOTS[index]).expect("slots are few");
-        if let Err(broken) = self.oracle.begin(upstream, held, slots) {
-            self.broken.get_or_insert(broken);
+        if let Err(violation) = self.oracle.begin(upstream, held, slots) {
+            self.violation.get_or_insert(violation);
         }
     }
 
-    fn note_run(&mut self, number: usize, upstream: &id::Upstream) {
+    fn record_run(&mut self, number: usize, upstream: &id::Upstream) {
         let others = self.nodes.iter().enumerate().filter(|(n, _)| *n != number);
         let any_paused = others.into_iter().any(|(_, s)| s.is_paused && s.core.is_some());
-        self.met.note("run");
-        self.met.note_if(any_paused, "run while another node is paused");
-        self.met.note_if(!self.cuts.is_empty(), "run while links are cut");
-        self.met.note_if(!self.is_store_up, "run while the store is away");
+        self.met.record("run");
+        self.met.record_if(any_paused, "run while another node is paused");
+        self.met.record_if(!self.cuts.is_empty(), "run while links are cut");
+        self.met.record_if(!self.is_store_up, "run while the store is away");
         let Some(core) = &self.nodes[number].core else { return };
         let key =
             model::upstream::Key { service: id::Service::new(SERVICE), upstream: upstream.clone() };
         let Some(ledger) = core.owner.upstreams.get(&key).map(|u| &u.ledger) else { return };
-        let in_doubt = ledger.allotment.owner() != Some(&core.me.key);
+        let is_not_owner = ledger.allotment.owner() != Some(&core.me.key);
         let on_lease = ledger.running_on_leases().any(|(_, slots)| slots > 0);
-        self.met.note_if(in_doubt, "run in doubt, by a node that is not owner");
-        self.met.note_if(on_lease, "run on a lease");
+        self.met.record_if(is_not_owner, "run by a node that is not the owner");
+        self.met.record_if(on_lease, "run on a lease");
     }
 
     fn finish(&mut self, which: u16) {
-        let Some(held) = self.choose(which) else { return };
+        let Some(held) = self.select(which) else { return };
         self.oracle.end(held.node, held.request);
         self.end(&held, request::Outcome::Answered);
     }
 
     fn abandon(&mut self, which: u16) {
-        let Some(held) = self.choose(which) else { return };
+        let Some(held) = self.select(which) else { return };
         let runs = self.nodes[held.node.0].start == held.node.1;
         if !runs || self.nodes[held.node.0].is_paused {
             return;
         }
-        self.met.note("abandoned");
-        self.oracle.give_up(held.node, held.request, self.now + owner::CANCEL_GRACE);
+        self.met.record("abandoned");
+        self.oracle.abandon(held.node, held.request, self.now + owner::CANCEL_GRACE);
         self.end(&held, request::Outcome::Abandoned);
     }
 
-    fn choose(&self, which: u16) -> Option<oracle::Held> {
+    fn select(&self, which: u16) -> Option<oracle::Held> {
         let all = self.oracle.all();
         (!all.is_empty()).then(|| all[usize::from(which) % all.len()].clone())
     }
 
     fn end(&mut self, held: &oracle::Held, outcome: request::Outcome) {
         let sim = &mut self.nodes[held.node.0];
-        // An answer that comes while the node stands still is read when it goes on; until then
-        // the node counts the slot as taken.
+        // An answer that arrives while the node is paused is read only after it resumes. Until then the
+        // node counts the slot as occupied.
         if sim.start == held.node.1 && !sim.is_paused {
             sim.running.remove(&held.request);
-            self.tell(held.node.0, event::Event::Done { request: held.request, outcome });
+            self.handle(held.node.0, event::Event::Done { request: held.request, outcome });
         }
     }
 
@@ -402,7 +403,7 @@
     fn pause(&mut self, number: usize) {
         let key = (number, self.nodes[number].start);
         let holds = self.oracle.holds(key);
-        self.met.note_if(holds, "paused with requests in flight");
+        self.met.record_if(holds, "paused with requests in flight");
         self.nodes[number].is_paused = true;
     }
 
@@ -413,8 +414,8 @@
     fn kill(&mut self, number: usize) {
         let key = (number, self.nodes[number].start);
         let holds = self.oracle.holds(key);
-        self.met.note_if(holds, "killed with requests in flight");
-        // What it sent runs on until its deadline, as when the VM loses its power.
+        self.met.record_if(holds, "killed with requests in flight");
+        // Its requests run on until their deadlines, as after a power failure of the VM.
         self.nodes[number].core = None;
     }
 
@@ -431,30 +432,30 @@
         let me = member(number, sim.start);
         sim.core = Some(core::Core::new(me, seeds, self.now, self.wall));
         self.vms.vms.insert(address(number).ip(), vms::State::Live);
-        self.tell_vms();
+        self.publish_vms();
         self.read(number);
     }
 
     fn stop(&mut self, number: usize) {
         if self.nodes[number].core.is_some() && !self.nodes[number].is_paused {
-            self.met.note("node stopped as planned");
+            self.met.record("node stopped as planned");
             self.nodes[number].is_stopping = true;
-            self.tell(number, event::Event::Stop);
+            self.handle(number, event::Event::Stop);
         }
     }
 
-    /// Drops a VM from the list, but only one whose node has ended: the list lags and never leads.
+    /// Removes a VM from the list, but only if its node has ended: the list may be late, never early.
     fn gone(&mut self, number: usize) {
         if self.nodes[number].core.is_none() {
             self.vms.vms.remove(&address(number).ip());
-            self.tell_vms();
+            self.publish_vms();
         }
     }
 
-    fn tell_vms(&mut self) {
+    fn publish_vms(&mut self) {
         let list = self.vms.clone();
         for number in 0..NODES {
-            self.tell(number, event::Event::Vms { list: list.clone() });
+            self.handle(number, event::Event::Vms { list: list.clone() });
         }
     }
 
@@ -466,8 +467,8 @@
         }
         let snapshot = sync::Arc::clone(&self.config);
         let table = sync::Arc::clone(&self.store);
-        self.tell(number, event::Event::Configure { snapshot });
-        self.tell(number, event::Event::Adopt { table, is_stored: true });
+        self.handle(number, event::Event::Configure { snapshot });
+        self.handle(number, event::Event::Adopt { table, is_stored: true });
     }
 
     fn propose(&mut self, number: usize, table: sync::Arc<table::Table>) {
@@ -476,19 +477,19 @@
         }
         if table.epoch == self.store.epoch.next() {
             let forgotten = self.store.departed.len() > table.departed.len();
-            self.met.note_if(forgotten, "departed node forgotten");
+            self.met.record_if(forgotten, "departed node forgotten");
             self.store = table;
             if std::mem::take(&mut self.loses_answer) {
-                self.met.note("answer of a write lost");
+                self.met.record("answer of a write lost");
                 return;
             }
         }
         self.read(number);
     }
 
-    // The end.
+    // Recovery.
 
-    /// Heals everything and expects every upstream's slots to be usable again, by its owner alone.
+    /// Heals all faults and checks that the owner of each upstream, and no other node, can use all its slots.
     fn recover(&mut self) -> Result<(), String> {
         self.cuts.clear();
         self.is_store_up = true;
@@ -508,8 +509,8 @@
             for number in 0..NODES {
                 self.read(number);
             }
-            if let Some(broken) = self.broken.take() {
-                return Err(broken);
+            if let Some(violation) = self.violation.take() {
+                return Err(violation);
             }
         }
         for (index, slots) in SLOTS.iter().enumerate() {
--- a/crates/steer/tests/organisations.rs
+++ b/crates/steer/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations in the rules of a request: where it may run, and how long it may wait.
+//! Effect of organisations on requests: permitted regions and priority.
 
 use std::collections;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use model::{id, organisation, route, routing};
 use steer::dispatch::{homes, priority, request, urgency};
 
-/// Names of regions.
+/// Region names.
 type Names = &'static [&'static str];
 
 fn regions(names: &[&str]) -> Vec<id::Region> {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn homes_of_route_and_organisation_both_bind() {
+fn home_regions_of_route_and_organisation_both_apply() {
     let cases: [(Names, Names, Option<Names>); 6] = [
         (&[], &[], Some(&[])),
         (&["n"], &[], Some(&["n"])),
@@ -61,7 +61,7 @@
     );
 }
 
-/// Priorities of a service that an urgent and a less urgent organisation use.
+/// The priorities of a service used by an urgent and a less urgent organisation.
 struct Desk {
     priorities: priority::Priorities,
     service: id::Service,
--- a/crates/steer/tests/tickets.rs
+++ b/crates/steer/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets: a request runs at most once, and what is told of it is true.
+//! Tickets: a request runs at most once, and its reported outcome is correct.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_ticket_is_read_as_it_was_written() {
+fn a_ticket_is_parsed_from_its_display_form() {
     let (issuer, _) = table(Instant::now());
     let ticket = issuer.issue(Instant::now(), u64::MAX);
     assert_eq!(Ticket::parse(&ticket.to_string()), Some(ticket));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn only_its_own_incarnation_runs_it() {
+fn only_the_issuing_incarnation_runs_a_ticket() {
     let now = Instant::now();
     let (issuer, mut tickets) = table(now);
     let ticket = issuer.issue(now, 1);
@@ -37,11 +37,11 @@
     tickets.finish(&ticket, Outcome::Answered(Arc::new(5)));
     assert_eq!(tickets.claim(&ticket, now), Claim::Done(Outcome::Answered(Arc::new(5))));
     assert_eq!(tickets.claim(&ticket, now + LIFE), Claim::Unknown);
-    assert!(tickets.is_empty(), "what has ended is forgotten");
+    assert!(tickets.is_empty(), "expired tickets are removed");
 }
 
-/// Claims, ends and time in any order: between two runs of one ticket lies a proof that the first
-/// did not run.
+/// Claims and finishes tickets and advances the time in random order. A ticket may be run again only
+/// after its previous run was proved not to have happened.
 #[test]
 fn no_ticket_runs_twice() {
     fn holds(steps: Vec<(u8, u8, u16)>) -> bool {
@@ -56,7 +56,7 @@
             match what % 5 {
                 0 | 1 => runs[which] += u32::from(tickets.claim(ticket, now) == Claim::Run),
                 2 => tickets.finish(ticket, Outcome::Answered(Arc::new(1))),
-                // Only a running request can be proved not to have run.
+                // Only a claimed request can be proved not to have run.
                 3 => match tickets.claim(ticket, now) {
                     Claim::Run => runs[which] += 1,
                     Claim::Running => {
--- a/crates/steer/tests/verdicts.rs
+++ b/crates/steer/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts and retries: what a caller is told covers every try.
+//! Verdicts and retries: the verdict that a caller gets covers every try.
 
 use model::service::RetryPolicy;
 use model::verdict::{Failure, Reason, Verdict};
@@ -6,14 +6,14 @@
 use steer::ownership::retry;
 
 #[test]
-fn a_refusal_after_a_try_that_may_have_run_is_not_called_not_run() {
+fn a_refusal_keeps_the_verdict_of_an_earlier_try_that_may_have_run() {
     let refused = Failure::not_run(Reason::Full);
     assert_eq!(refused.with_earlier_verdict(Verdict::MayHaveRun).verdict, Verdict::MayHaveRun);
     assert_eq!(refused.with_earlier_verdict(Verdict::NotRun).verdict, Verdict::NotRun);
 }
 
 #[test]
-fn only_what_is_proved_or_declared_is_sent_again() {
+fn only_requests_proved_not_run_or_declared_idempotent_are_retried() {
     let may = |failure, repetition| retry::may_retry(failure, repetition, 1, &mut Budget::new());
     let broken = Failure::may_have_run(Reason::Broken);
     assert!(may(broken, RetryPolicy::Idempotent));
@@ -25,20 +25,21 @@
     assert!(!may(Failure::may_have_run(Reason::Deadline), RetryPolicy::Idempotent));
 }
 
-/// With every upstream failing, second tries stay within a tenth of first tries and a few more.
+/// Guards against a retry storm: while every upstream fails, retries stay within a tenth of the requests,
+/// plus the ten that the budget can save up.
 #[test]
-fn no_storm_of_retries() {
+fn retries_stay_within_the_budget() {
     let mut budget = Budget::new();
-    let first = 10_000_u32;
-    let mut second = 0_u32;
-    for _ in 0..first {
+    let requests = 10_000_u32;
+    let mut retries = 0_u32;
+    for _ in 0..requests {
         budget.earn();
         let failure = Failure::not_run(Reason::Unreachable);
         let mut tries = 1;
         while retry::may_retry(failure, RetryPolicy::Idempotent, tries, &mut budget) {
             tries += 1;
-            second += 1;
+            retries += 1;
         }
     }
-    assert!(second <= first / 10 + 10, "{second} second tries of {first}");
+    assert!(retries <= requests / 10 + 10, "{retries} retries of {requests}");
 }
