--- a/crates/steer/src/ownership/core/mod.rs
+++ b/crates/steer/src/ownership/core/mod.rs
@@ -106,8 +106,8 @@
             event::Event::Adopt { table, is_stored } => self.adopt(table, is_stored),
             event::Event::Vms { list } => self.apply_vms(list),
             event::Event::Route { request, service, place, region } => {
-                let ask = router::Ask { request, service, place, region };
-                self.route(ask, now, out);
+                let routing = router::RoutingRequest { request, service, place, region };
+                self.route(routing, now, out);
             }
             event::Event::Used { owner, service, usage } => {
                 self.router.record_usage(&owner, &service, usage, now);
@@ -202,13 +202,18 @@
         now.saturating_duration_since(self.started) >= DISCOVERY_TIME
     }
 
-    fn route(&mut self, ask: router::Ask, now: Instant, out: &mut Vec<action::Action>) {
+    fn route(
+        &mut self,
+        routing: router::RoutingRequest,
+        now: Instant,
+        out: &mut Vec<action::Action>,
+    ) {
         match self.is_ready(now) {
-            true => self.with_router(now, |router, view| router.route(ask, view, out)),
+            true => self.with_router(now, |router, view| router.route(routing, view, out)),
             false => {
                 let failure = verdict::Failure::not_run(verdict::Reason::NotReady);
                 let failure = failure.with_retry_after(DISCOVERY_TIME);
-                out.push(action::Action::Refuse { request: ask.request, failure });
+                out.push(action::Action::Refuse { request: routing.request, failure });
             }
         }
     }
--- a/crates/steer/src/ownership/maintenance.rs
+++ b/crates/steer/src/ownership/maintenance.rs
@@ -28,7 +28,7 @@
 pub struct Maintainer {
     wanted_since: Option<Instant>,
     proposed: Option<Instant>,
-    ends: collections::BTreeMap<member::Key, Instant>,
+    stopped_since: collections::BTreeMap<member::Key, Instant>,
 }
 
 /// The state that decisions on the table read.
@@ -63,7 +63,7 @@
             return None;
         }
         let since = *self.wanted_since.get_or_insert(view.now);
-        let is_turn = view.now.saturating_duration_since(since) >= TURN * position(view);
+        let is_turn = view.now.saturating_duration_since(since) >= TURN * turn(view);
         let paused = self.proposed.is_some_and(|at| view.now.saturating_duration_since(at) < PAUSE);
         if !is_turn || paused {
             return None;
@@ -95,16 +95,16 @@
                 known.member.key != departed.key && known.member.peers == departed.peers
             });
             if !gone && !replaced {
-                self.ends.remove(&departed.key);
+                self.stopped_since.remove(&departed.key);
                 continue;
             }
-            let since = *self.ends.entry(departed.key.clone()).or_insert(view.now);
+            let since = *self.stopped_since.entry(departed.key.clone()).or_insert(view.now);
             if view.now.saturating_duration_since(since) >= view.tail {
                 ended.push(departed.key.clone());
             }
         }
         let listed = |key: &member::Key| view.table.departed.iter().any(|d| d.key == *key);
-        self.ends.retain(|key, _| listed(key));
+        self.stopped_since.retain(|key, _| listed(key));
         ended
     }
 }
@@ -156,7 +156,7 @@
 }
 
 /// Returns the number of live nodes of the region that precede this one by name.
-fn position(view: &View<'_>) -> u32 {
+fn turn(view: &View<'_>) -> u32 {
     let alive = view.members.alive(view.now).map(|k| &k.member);
     let before = alive.filter(|m| m.region == view.me.region && m.key < view.me.key);
     u32::try_from(before.count()).unwrap_or(u32::MAX)
--- a/crates/steer/src/ownership/owner/leasing.rs
+++ b/crates/steer/src/ownership/owner/leasing.rs
@@ -14,7 +14,7 @@
 
 /// Time in which requests may start on a lease, counted from when it was requested.
 ///
-/// Longer than three heartbeat periods of a grantor, so that two lost heartbeats do not end the lease.
+/// Longer than three periods of the heartbeats to a grantor, so that two lost ones do not end the lease.
 /// Short, because a dead owner's slots stay unusable for this time plus the service's deadline.
 pub const LEASE_TERM: Duration = Duration::from_secs(3);
 
--- a/crates/steer/src/ownership/peering.rs
+++ b/crates/steer/src/ownership/peering.rs
@@ -35,7 +35,7 @@
     seeds: Vec<net::SocketAddr>,
     sent: collections::BTreeMap<id::Node, Instant>,
     updated: collections::BTreeMap<id::Node, Instant>,
-    seeded: Option<Instant>,
+    seeds_sent: Option<Instant>,
     fetched: Option<Instant>,
     epochs: collections::VecDeque<(Instant, epoch::Epoch)>,
 }
@@ -58,7 +58,7 @@
             seeds,
             sent: collections::BTreeMap::new(),
             updated: collections::BTreeMap::new(),
-            seeded: None,
+            seeds_sent: None,
             fetched: None,
             epochs: collections::VecDeque::new(),
         }
@@ -80,7 +80,8 @@
         let is_local = |m: &&&heartbeat::Member| m.region == me.region;
         let local = others.iter().filter(is_local).take(LOCAL);
         let remote = others.iter().filter(|m| !is_local(m)).take(REMOTE);
-        let due = others.iter().filter(|m| grantors.contains(&m.key.node) && self.is_due(m, now));
+        let due =
+            others.iter().filter(|m| grantors.contains(&m.key.node) && self.is_grantor_due(m, now));
         let mut chosen: collections::BTreeMap<id::Node, net::SocketAddr> =
             local.chain(remote).chain(due).map(|m| (m.key.node.clone(), m.peers)).collect();
         let known: Vec<net::SocketAddr> = others.iter().map(|m| m.peers).collect();
@@ -127,7 +128,7 @@
         }
     }
 
-    fn is_due(&self, member: &heartbeat::Member, now: Instant) -> bool {
+    fn is_grantor_due(&self, member: &heartbeat::Member, now: Instant) -> bool {
         let sent = self.sent.get(&member.key.node);
         sent.is_none_or(|at| now.saturating_duration_since(*at) >= GRANTOR_PERIOD)
     }
@@ -135,10 +136,10 @@
     /// Returns the seeds that are not addresses of known nodes, if it is time to try them again.
     fn due_seeds(&mut self, known: &[net::SocketAddr], now: Instant) -> Vec<net::SocketAddr> {
         let recent = |at: Instant| now.saturating_duration_since(at) < SEED_PERIOD;
-        if self.seeded.is_some_and(recent) {
+        if self.seeds_sent.is_some_and(recent) {
             return Vec::new();
         }
-        self.seeded = Some(now);
+        self.seeds_sent = Some(now);
         self.seeds.iter().filter(|seed| !known.contains(seed)).copied().collect()
     }
 }
--- a/crates/steer/src/ownership/router/mod.rs
+++ b/crates/steer/src/ownership/router/mod.rs
@@ -45,12 +45,12 @@
     routed: collections::HashMap<request::Id, Routed>,
     budgets: collections::BTreeMap<id::Service, budget::Budget>,
     outstanding: collections::BTreeMap<(id::Service, id::Node), u32>,
-    reported: collections::BTreeMap<(id::Service, id::Node), Reported>,
+    reported: collections::BTreeMap<(id::Service, id::Node), ReportedUsage>,
 }
 
 /// An owner's last reported usage, less this node's outstanding requests there.
 #[derive(Clone, Copy, Debug)]
-struct Reported {
+struct ReportedUsage {
     others: u32,
     usable: u32,
     at: Instant,
@@ -71,7 +71,7 @@
 
 /// A request to be routed to a region and an owner.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RoutingRequest {
     /// The request.
     pub request: request::Id,
     /// The service.
@@ -123,7 +123,7 @@
         let own = self.outstanding(service, owner);
         let others = usage.busy.saturating_sub(own);
         let key = (service.clone(), owner.clone());
-        self.reported.insert(key, Reported { others, usable: usage.usable, at: now });
+        self.reported.insert(key, ReportedUsage { others, usable: usage.usable, at: now });
     }
 
     /// Recomputes the owners of every service.
@@ -145,23 +145,28 @@
     }
 
     /// Routes a request, or refuses it if no region can take it.
-    pub fn route(&mut self, ask: Ask, view: &View<'_>, out: &mut Vec<action::Action>) {
-        let region = match ask.region {
+    pub fn route(
+        &mut self,
+        routing: RoutingRequest,
+        view: &View<'_>,
+        out: &mut Vec<action::Action>,
+    ) {
+        let region = match routing.region {
             Some(region) => Some(region),
             None => {
-                self.budgets.entry(ask.service.clone()).or_default().earn();
-                self.next_region(&ask.service, &ask.place, view)
+                self.budgets.entry(routing.service.clone()).or_default().earn();
+                self.next_region(&routing.service, &routing.place, view)
             }
         };
         let routed = Routed {
-            service: ask.service,
+            service: routing.service,
             region,
             owner: None,
             tried: Vec::new(),
             busy_tries: 0,
             earlier_verdict: verdict::Verdict::NotRun,
         };
-        self.send(ask.request, routed, view, out);
+        self.send(routing.request, routed, view, out);
     }
 
     /// Returns the owner that a request was last sent to.
--- a/crates/steer/tests/fleet/main.rs
+++ b/crates/steer/tests/fleet/main.rs
@@ -77,7 +77,7 @@
 }
 
 /// Guards against oversubscription after a quick restart: the requests of a killed incarnation still run at
-/// the upstreams while the next incarnation starts.
+/// the upstreams while the next one starts within a second.
 #[test]
 fn a_quick_restart_does_not_forget_what_still_runs() {
     for node in 0..5 {
