--- a/crates/node/src/gateway/proxy/tries.rs
+++ b/crates/node/src/gateway/proxy/tries.rs
@@ -82,7 +82,7 @@
 
     /// Returns the tries that ended, in order.
     #[must_use]
-    pub fn ended(&self) -> &[retry::Try] {
+    pub fn ended(&self) -> &[retry::Attempt] {
         self.progress.ended()
     }
 
@@ -148,12 +148,12 @@
 
     fn choose(&mut self) -> Result<retry::Choice, give_up::Reason> {
         if self.is_revoked() {
-            return Err(self.progress.revoke());
+            return Err(self.progress.reason_after_revocation());
         }
         self.held = self.identity.check();
         if let Some(hold) = self.held {
             self.server.state.metrics.held_back.add(1);
-            return Err(self.progress.hold(hold.retry_after));
+            return Err(self.progress.reason_in_quarantine(hold.retry_after));
         }
         let request = self.for_choice();
         let mut dispatcher = self.server.state.dispatcher.borrow_mut();
@@ -198,7 +198,7 @@
         let routing = self.server.state.routing.borrow();
         let in_force = routing.as_ref().and_then(|routing| routing.organisations.as_ref());
         match (self.request.organisation, in_force, self.request.head.key) {
-            (Some(organisation), Some(in_force), key::Given::Key(key)) => {
+            (Some(organisation), Some(in_force), key::Credential::Key(key)) => {
                 in_force.find(&key).is_none_or(|found| found.name != organisation.name)
             }
             _ => false,
@@ -216,7 +216,7 @@
                 state.metrics.retries.add(1);
                 Ok(())
             }
-            retry::Next::GiveUp(give_up::Reason::TurnedAway) => Err(self.turned_away()),
+            retry::Next::GiveUp(give_up::Reason::Refused) => Err(self.turned_away()),
             retry::Next::GiveUp(reason) => Err(reason),
         }
     }
@@ -224,7 +224,7 @@
     /// Returns why a request is given up that was refused at last: no retry of its caller succeeds while all upstreams rest.
     fn turned_away(&self) -> give_up::Reason {
         let mut dispatcher = self.server.state.dispatcher.borrow_mut();
-        self.progress.turned_away(self.for_choice(), &mut dispatcher, Instant::now())
+        self.progress.reason_after_refusal(self.for_choice(), &mut dispatcher, Instant::now())
     }
 
     /// Sends the request on a resting connection, or on a new one.
@@ -295,7 +295,7 @@
             }
             _ => {
                 let load = answer.load;
-                (outcome::Outcome::TurnedAway { load }, retry::Outcome::TurnedAway)
+                (outcome::Outcome::Refused { load }, retry::Outcome::Refused)
             }
         };
         attempt.end(for_dispatcher);
--- a/crates/node/src/owner/store/follower.rs
+++ b/crates/node/src/owner/store/follower.rs
@@ -175,8 +175,8 @@
     async fn apply_writes(&self, mut writes: mpsc::Receiver<Write>) {
         while let Some(write) = writes.recv().await {
             let view = self.handle.view();
-            let facts = check::facts::Facts {
-                wall: self.handle.clock().wall(),
+            let facts = check::context::Context {
+                wall: self.handle.clock().wall_time(),
                 in_use: view.in_use.clone(),
             };
             let (outcome, snapshot) = accept::apply(&*self.store, &write.change, &facts).await;
--- a/crates/node/tests/key_heads.rs
+++ b/crates/node/tests/key_heads.rs
@@ -28,7 +28,7 @@
 
 impl Arbitrary for Line {
     fn arbitrary(g: &mut Gen) -> Self {
-        let lengths = [0, 1, 20, key::LONGEST - MARK.len(), key::LONGEST, 4_000];
+        let lengths = [0, 1, 20, key::MAX_BYTES - MARK.len(), key::MAX_BYTES, 4_000];
         match u8::arbitrary(g) % 5 {
             0 | 1 => Self::Key {
                 cases: u16::arbitrary(g),
@@ -94,7 +94,7 @@
 }
 
 /// Says what a head gives, by its lines alone.
-fn expected(lines: &[Line]) -> key::Given {
+fn expected(lines: &[Line]) -> key::Credential {
     let keys: Vec<usize> = lines
         .iter()
         .filter_map(|line| match line {
@@ -103,11 +103,11 @@
         })
         .collect();
     match keys.as_slice() {
-        [] => key::Given::None,
-        [length] if *length > 0 && value(*length).len() <= key::LONGEST => {
-            key::Given::Key(key::Digest::of(value(*length).as_bytes()))
+        [] => key::Credential::None,
+        [length] if *length > 0 && value(*length).len() <= key::MAX_BYTES => {
+            key::Credential::Key(key::Digest::of(value(*length).as_bytes()))
         }
-        _ => key::Given::Malformed,
+        _ => key::Credential::Malformed,
     }
 }
 
